--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -238,8 +238,9 @@
                 self._everything, revision=self._everything.revision + 1)
             self._actor.on_receive(control.StoreSeen(self._everything))
         for report in data:
-            reports.encode_reply(
-                reporting.answer(self._reporter, reports.decode_report(report)))
+            reports.encode_report_reply(
+                reporting.handle_report(self._reporter,
+                                        reports.decode_report(report)))
 
     def _make_report(self, number: int) -> bytes:
         rows, fence = [], 0
--- a/benchmarks/edge_slopes.py
+++ b/benchmarks/edge_slopes.py
@@ -35,16 +35,17 @@
     report = reports.Report('e0', rows, inflight, {'x': 9})
     table = hub.HubTable()
     for number in range(entries):
-        hub.note_inflight(table, f'e{number}', inflight, 0.0)
+        hub.record_inflight(table, f'e{number}', inflight, 0.0)
     data = reports.encode_report(report)
     size = 0
 
     def answer() -> None:
         nonlocal size
         found = reports.decode_report(data)
-        hub.note_inflight(table, found.entry, found.inflight, 0.0)
-        reply = reports.Reply(hub.count_others(table, 'e0', 0.0), {}, {})
-        size = len(reports.encode_reply(reply))
+        hub.record_inflight(table, found.entry, found.inflight, 0.0)
+        reply = reports.ReportReply(hub.count_others_inflight(table, 'e0', 0.0),
+                                    {}, {})
+        size = len(reports.encode_report_reply(reply))
 
     return _time(answer), len(data) + size
 
--- a/benchmarks/edge_spread.py
+++ b/benchmarks/edge_spread.py
@@ -177,7 +177,7 @@
 def play_reports(fleet: Fleet) -> tuple[dict[str, float], Result]:
     """Has the hub tell all, in replies to reports that get rarer."""
     known = {fleet.hub: _find_look(fleet)}
-    pause_ms = reporting.find_pause(len(fleet.peers))
+    pause_ms = reporting.find_report_interval(len(fleet.peers))
     asked = sorted(
         (known[fleet.hub] + fleet.random.uniform(0, pause_ms), address)
         for address in fleet.alive - {fleet.hub})
@@ -220,7 +220,7 @@
         if place is None and address != fleet.hub:
             # Told by the hub in the reply to its next report.
             asked = known[fleet.hub] + fleet.random.uniform(
-                0, reporting.REPORT_MS)
+                0, reporting.REPORT_INTERVAL_MS)
             known[address] = fleet.carry(fleet.hub, address, asked, size)
     _tell_children(fleet, places, known, size)
     reply = _kbps(EMPTY_BYTES, LIMITS.hold_ms)
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -104,7 +104,7 @@
 class Reported:
     """Requests for keys that an entry reports, by service."""
 
-    rows: dict[str, list[reports.Row]]
+    rows: dict[str, list[reports.RequestSample]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -486,7 +486,7 @@
                                                  dict(everything.entries))
             forwarder.changed.notify_all()
 
-    def _take_rows(self, found: dict[str, list[reports.Row]]) -> None:
+    def _take_rows(self, found: dict[str, list[reports.RequestSample]]) -> None:
         for service, rows in found.items():
             role = self._owned.roles.get(service)
             if role is not None:
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -123,10 +123,11 @@
         listener.prepare()
         _start(listener.serve)
     _serve_metrics(entry)
-    following.follow_again(entry.follower)
+    following.restart_following(entry.follower)
     _start(functools.partial(_tick, entry))
-    _start(functools.partial(reporting.report, entry.reporter))
-    _start(functools.partial(subscriptions.listen, entry.follower))
+    _start(functools.partial(reporting.report_forever, entry.reporter))
+    _start(functools.partial(subscriptions.request_news_forever,
+                             entry.follower))
     logger.info('entry_started', callers=platform.settings.callers)
     # Threads that are started after this could receive signals.
     arrived = signals.watch(*SIGNALS)
@@ -170,7 +171,7 @@
         forwarder,
         platform,
         logger,
-        lambda: following.follow_again(entry.follower),
+        lambda: following.restart_following(entry.follower),
         wake=entry.hurry.set)
     entry.reporter = reporting.Reporter(
         instance, forwarder,
@@ -182,8 +183,9 @@
         lambda reason: entry.actor.tell(control.StoreLost(reason)))
     entry.follower.probe = lambda: entry.actor.tell(control.Probe())
     platform.store.on_restore(
-        functools.partial(following.read_anew, entry.follower))
-    entry.reporter.hear = functools.partial(knowledge.take_news, entry.follower)
+        functools.partial(following.restart_with_full_read, entry.follower))
+    entry.reporter.on_news = functools.partial(knowledge.take_news,
+                                               entry.follower)
     log_error = listening.make_error_log(logger)
     callers = listening.make_listener(
         platform.settings.callers,
@@ -343,7 +345,7 @@
     asked = reports.decode_news_request(body)
     if asked is None:
         return 400, b'', 'text/plain'
-    reply = subscriptions.answer(entry.follower, asked)
+    reply = subscriptions.handle_news_request(entry.follower, asked)
     if reply is None:
         return 503, b'', 'text/plain'
     return 200, reports.encode_news(reply), 'application/json'
@@ -353,8 +355,8 @@
     report = reports.decode_report(body)
     if report is None:
         return 400, b'', 'text/plain'
-    reply = reporting.answer(entry.reporter, report)
-    return 200, reports.encode_reply(reply), 'application/json'
+    reply = reporting.handle_report(entry.reporter, report)
+    return 200, reports.encode_report_reply(reply), 'application/json'
 
 
 def _issue_permit(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
@@ -384,8 +386,8 @@
             clocks.pause(entry.pace.pause_ms)
             entry.hurry.clear()
         entry.actor.tell(control.Tick(entry.clock.now()))
-        following.check(entry.follower)
-        subscriptions.seek(entry.follower)
+        following.restart_if_silent(entry.follower)
+        subscriptions.ask_random_peers(entry.follower)
 
 
 def _finish(entry: Entry) -> None:
--- a/lentilmoor/edge/following.py
+++ b/lentilmoor/edge/following.py
@@ -18,38 +18,38 @@
 from lentilmoor.edge import tables
 
 # Pause before a store that can't be reached is tried again.
-STORE_AGAIN_MS = 300.0
+STORE_RETRY_MS = 300.0
 # While the hub tells what has changed, the others look for themselves only this
 # often: each look brings the heartbeats of all servers since the last one,
 # which fill a slow link.
-TOLD_PAUSE_MS = 6_000.0
+INFORMED_READ_INTERVAL_MS = 6_000.0
 # Relays and those that they tell don't look while they are told.
-NEVER_MS = float('inf')
-NEWS_LOOK_MS = 50.0
+NO_READ_MS = float('inf')
+READ_CHECK_INTERVAL_MS = 50.0
 # Entries that relays tell and that look at the store at a time, on the mean,
 # once nobody tells anything recent.
-LOOKERS = 1.0
+MEAN_READING_LEAVES = 1.0
 # A start on a small machine asks larger ones for what the store holds, which
 # costs the store a call for each page, for so long, with such pauses.
-LEARN_MS = 1_500.0
-LEARN_PAUSE_MS = 100.0
+BOOTSTRAP_TIMEOUT_MS = 1_500.0
+BOOTSTRAP_RETRY_MS = 100.0
 # Larger entries that are asked between two looks at who is registered.
-LEARN_PEERS = 2
+BOOTSTRAP_PEERS = 2
 # A configuration that others have in force is read from the store unless it
 # comes by news meanwhile.
-BEHIND_MS = 200.0
+CONFIGURATION_WAIT_MS = 200.0
 # A hub that fell silent may have ended: whoever takes its place is to know soon
 # after its lease has run out, or grants run out before they are renewed.
-LOST_HUB_MS = 4_000.0
+HUB_LOSS_MS = 4_000.0
 # A read of the store that took longer is told, as is one that failed. A watch
 # waits for a change, of which there is one in nearly each second.
 SLOW_READ_MS = 1_000.0
 # A watch that has waited for so long when the store answers again may have been
 # sent while it was silent, and may never be answered.
-HUNG_MS = 250.0
+HUNG_WATCH_MS = 250.0
 
 
-def follow_again(follower: knowledge.Follower) -> None:
+def restart_following(follower: knowledge.Follower) -> None:
     """Begins to follow the store; an earlier watch is left to itself.
 
     Not if the store or the hub told something a moment ago, as whole reads fill
@@ -65,7 +65,7 @@
         _begin(follower, reads=False)
 
 
-def read_anew(follower: knowledge.Follower) -> None:
+def restart_with_full_read(follower: knowledge.Follower) -> None:
     """Begins with a whole read, as the store was restored."""
     follower.whole = True
     _begin(follower)
@@ -74,10 +74,10 @@
 def _hangs(follower: knowledge.Follower) -> bool:
     """Returns whether a watch may have been sent to a silent store."""
     what, since = follower.doing
-    return what == 'watch' and follower.clock.now() - since >= HUNG_MS
+    return what == 'watch' and follower.clock.now() - since >= HUNG_WATCH_MS
 
 
-def check(follower: knowledge.Follower) -> None:
+def restart_if_silent(follower: knowledge.Follower) -> None:
     """Begins to follow anew if nobody has told anything for too long.
 
     A call may hang while the entry's leases are kept.
@@ -140,7 +140,7 @@
     while number == follower.begun:
         # Relays and the hub try a store again that didn't answer; the others,
         # of which there may be many, leave that to them.
-        if (not known and not read(follower, number) and
+        if (not known and not read_store(follower, number) and
             (follower.whole or not _is_leaf(follower))):
             continue
         known = False
@@ -157,14 +157,14 @@
     Returns:
       Whether it did; if not, the store is to be read.
     """
-    until = follower.clock.now() + LEARN_MS
+    until = follower.clock.now() + BOOTSTRAP_TIMEOUT_MS
     while follower.clock.now() < until:
         _note_doing(follower, 'learn')
         found = follower.store.list_entries()
         if isinstance(found, outcomes.Failed):
             return False
         for peer in _choose_larger(follower, found):
-            learned = reporting.ask_state(follower.reporter, peer.address, 0)
+            learned = reporting.fetch_state(follower.reporter, peer.address, 0)
             if learned is not None and learned.configuration is not None:
                 follower.logger.info('store_learned',
                                      peer=peer.instance,
@@ -172,7 +172,7 @@
                 follower.whole = False
                 knowledge.take(follower, learned, True)
                 return True
-        clocks.pause(LEARN_PAUSE_MS)
+        clocks.pause(BOOTSTRAP_RETRY_MS)
     return False
 
 
@@ -186,10 +186,10 @@
     ]
     larger.sort(key=lambda peer:
                 (peer.domain != follower.own.domain, generator.random()))
-    return larger[:LEARN_PEERS]
+    return larger[:BOOTSTRAP_PEERS]
 
 
-def read(follower: knowledge.Follower, number: int) -> bool:
+def read_store(follower: knowledge.Follower, number: int) -> bool:
     """Reads the store; returns whether what it holds was taken in."""
     seen, store = follower.seen, follower.store
     what = _find_read(follower)
@@ -270,18 +270,18 @@
     """Waits until it is time to look at the store."""
     began = follower.clock.now()
     while number == follower.begun:
-        if follower.hurried.wait(NEWS_LOOK_MS / clocks.MS_PER_S):
+        if follower.hurried.wait(READ_CHECK_INTERVAL_MS / clocks.MS_PER_S):
             follower.hurried.clear()
             return
         now = follower.clock.now()
-        if now - began >= find_pause(follower):
+        if now - began >= find_read_interval(follower):
             return
         if knowledge.is_behind(
-                follower) and now - follower.wanted_at >= BEHIND_MS:
+                follower) and now - follower.wanted_at >= CONFIGURATION_WAIT_MS:
             return
 
 
-def find_pause(follower: knowledge.Follower) -> float:
+def find_read_interval(follower: knowledge.Follower) -> float:
     """Returns the pause until the store is to be looked at again, ms."""
     forwarder, place = follower.reporter.forwarder, follower.place
     limits = forwarder.limits
@@ -293,11 +293,11 @@
         return limits.lead_pause_ms
     if _is_leaf(follower):
         chosen = forwarder.generator.random() * len(
-            forwarder.snapshot.entries) < LOOKERS
-        return 0.0 if heard_ms >= limits.look_ms and chosen else NEVER_MS
+            forwarder.snapshot.entries) < MEAN_READING_LEAVES
+        return 0.0 if heard_ms >= limits.look_ms and chosen else NO_READ_MS
     if heard_ms < limits.seek_ms:
-        return TOLD_PAUSE_MS if place is None else NEVER_MS
-    if heard_ms < LOST_HUB_MS:
+        return INFORMED_READ_INTERVAL_MS if place is None else NO_READ_MS
+    if heard_ms < HUB_LOSS_MS:
         return limits.lead_pause_ms
     return limits.follow_pause_ms
 
@@ -315,16 +315,16 @@
         follower.whole = True
         return
     follower.lose(failed.reason)
-    # What has changed since is asked for by `subscriptions.seek`.
+    # What has changed since is asked for by `subscriptions.ask_random_peers`.
     if follower.whole or knowledge.is_behind(follower):
         _note_doing(follower, 'ask')
         _ask_others(follower, True)
-    clocks.pause(STORE_AGAIN_MS)
+    clocks.pause(STORE_RETRY_MS)
 
 
 def _ask_others(follower: knowledge.Follower, whole: bool) -> None:
     """Asks another entry what the store holds."""
-    heard = reporting.ask_peers(follower.reporter, whole)
+    heard = reporting.fetch_state_from_peer(follower.reporter, whole)
     if heard is not None:
         follower.whole = False
         follower.logger.info('store_heard_from_peer',
--- a/lentilmoor/edge/hub.py
+++ b/lentilmoor/edge/hub.py
@@ -10,7 +10,7 @@
 from lentilmoor.edge import reports
 
 # A report counts for so long; entries report several times as often.
-FRESH_MS = 1_200.0
+REPORT_RETENTION_MS = 1_200.0
 # A rate limit is dropped if no answer has confirmed it for this time.
 LIMIT_RETENTION_MS = 10_000.0
 
@@ -34,32 +34,34 @@
                    tuple[float,
                          dict[str,
                               int]]] = dataclasses.field(default_factory=dict)
-    totals: dict[str, int] = dataclasses.field(default_factory=dict)
-    expired_at: float = 0.0
+    inflight_totals: dict[str, int] = dataclasses.field(default_factory=dict)
+    last_expiry_at: float = 0.0
     limits: dict[str, tuple[float | None,
                             float]] = dataclasses.field(default_factory=dict)
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
 
 
-def note_inflight(table: HubTable, entry: str, inflight: dict[str, int],
-                  now: float) -> None:
+def record_inflight(table: HubTable, entry: str, inflight: dict[str, int],
+                    now: float) -> None:
     """Takes in an entry's requests under way."""
     with table.lock:
         _drop(table, entry)
         table.inflight[entry] = (now, inflight)
         for server, count in inflight.items():
-            table.totals[server] = table.totals.get(server, 0) + count
+            table.inflight_totals[server] = table.inflight_totals.get(
+                server, 0) + count
 
 
-def count_others(table: HubTable, entry: str, now: float) -> dict[str, int]:
+def count_others_inflight(table: HubTable, entry: str,
+                          now: float) -> dict[str, int]:
     """Returns requests under way at servers, less those of one entry."""
     with table.lock:
-        if now - table.expired_at > FRESH_MS / 4:
-            table.expired_at = now
+        if now - table.last_expiry_at > REPORT_RETENTION_MS / 4:
+            table.last_expiry_at = now
             for name, (at, _) in list(table.inflight.items()):
-                if now - at > FRESH_MS:
+                if now - at > REPORT_RETENTION_MS:
                     _drop(table, name)
-        others = dict(table.totals)
+        others = dict(table.inflight_totals)
         _, own = table.inflight.get(entry, (0.0, {}))
     for server, count in own.items():
         others[server] -= count
@@ -72,13 +74,13 @@
     """Takes an entry's report out of the totals; the lock is held."""
     _, counts = table.inflight.pop(entry, (0.0, {}))
     for server, count in counts.items():
-        table.totals[server] -= count
-        if not table.totals[server]:
-            del table.totals[server]
+        table.inflight_totals[server] -= count
+        if not table.inflight_totals[server]:
+            del table.inflight_totals[server]
 
 
-def note_limits(table: HubTable, limits: reports.ReportedLimits,
-                now: float) -> None:
+def record_limits(table: HubTable, limits: reports.ReportedLimits,
+                  now: float) -> None:
     """Records an entry's rate limits that are newer than the recorded ones."""
     with table.lock:
         for server, (rate, age_ms) in limits.items():
--- a/lentilmoor/edge/loads.py
+++ b/lentilmoor/edge/loads.py
@@ -83,7 +83,7 @@
         default_factory=lambda: keyloads.KeyLoads({}))
     cached_at: float = float('-inf')
 
-    def add(self, rows: Iterable[reports.Row], now: float) -> None:
+    def add(self, rows: Iterable[reports.RequestSample], now: float) -> None:
         """Takes in reported requests."""
         self._fade(now)
         for key, server, work_ms in rows:
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -28,35 +28,35 @@
 # Pause between two reports: a few times as long as a request takes. With many
 # entries it grows, so that the hub answers 125 reports a second at most, about
 # an eighth of a core.
-REPORT_MS = 250.0
-REPORT_PER_ENTRY_MS = 8.0
+REPORT_INTERVAL_MS = 250.0
+REPORT_INTERVAL_PER_ENTRY_MS = 8.0
 # Reports that a moved key asks for come no closer than this, so that the hub
 # answers 250 of them a second at most.
-HURRY_MS = 25.0
-HURRY_PER_ENTRY_MS = 4.0
+MIN_REPORT_INTERVAL_MS = 25.0
+MIN_REPORT_INTERVAL_PER_ENTRY_MS = 4.0
 TIMEOUT_MS = 300.0
 # A reply is waited for as long as two pauses at least: it may come late over a
 # full link, and an entry that gives it up keeps to what it knows.
-TIMEOUT_PAUSES = 2.0
+TIMEOUT_INTERVALS = 2.0
 # All that the store holds is waited for so long: over a slow link it takes most
 # of a second, and who gives it up asks again. Mostly it is just what changed.
-STATE_MS = 2_500.0
+STATE_TIMEOUT_MS = 2_500.0
 # News may keep the link of who tells them busy for so long, told to all: what
 # takes longer comes too late for everybody. The rest is read from the store.
-NEWS_LINK_MS = 200.0
+NEWS_LINK_BUDGET_MS = 200.0
 _BYTES_PER_MBIT = 125_000.0
 # Who lacks a configuration that the hub has asks the hub for all that it knows
 # with this probability, as others may lack it too, and any other entry else, as
 # the hub may be gone.
-HUB_PART = 0.5
+HUB_PROBABILITY = 0.5
 # A reply that took longer is told, as is one that didn't come.
-SLOW_MS = 500.0
+SLOW_REPLY_MS = 500.0
 # Servers' times of work change slowly, and are a third of a reply.
-WORKS_MS = 1_000.0
+WORK_TIMES_INTERVAL_MS = 1_000.0
 
 
 @dataclasses.dataclass(slots=True)
-class Exchanged:
+class EvidenceVersions:
     """How much of two quarantines' evidence has been exchanged.
 
     Attributes:
@@ -64,8 +64,8 @@
       heard: Version of the other's that this entry has taken in.
     """
 
-    told: int = 0
-    heard: int = 0
+    confirmed: int = 0
+    received: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -86,15 +86,16 @@
     instance: str
     forwarder: requests.Forwarder
     caller: httpcalls.Caller
-    tell: Callable[[object], None]
+    send_control: Callable[[object], None]
     table: hub.HubTable = dataclasses.field(default_factory=hub.HubTable)
-    works_at: float = float('-inf')
-    exchanged: dict[str, Exchanged] = dataclasses.field(default_factory=dict)
-    hear: Callable[[tables.News], object] = lambda unused_news: None
+    work_times_asked_at: float = float('-inf')
+    evidence_versions: dict[str, EvidenceVersions] = dataclasses.field(
+        default_factory=dict)
+    on_news: Callable[[tables.News], object] = lambda unused_news: None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Told:
+class HubReply:
     """What a hub replied.
 
     Attributes:
@@ -103,44 +104,45 @@
         may take long.
     """
 
-    reply: reports.Reply
-    asked_at: float
+    reply: reports.ReportReply
+    sent_at: float
 
 
-def report(reporter: Reporter) -> None:
+def report_forever(reporter: Reporter) -> None:
     """Reports for as long as the process lives."""
     forwarder = reporter.forwarder
     while True:
         entries = len(forwarder.snapshot.entries)
-        hurry_ms = max(HURRY_MS, HURRY_PER_ENTRY_MS * entries)
-        pause_ms = find_pause(entries)
+        hurry_ms = max(MIN_REPORT_INTERVAL_MS,
+                       MIN_REPORT_INTERVAL_PER_ENTRY_MS * entries)
+        pause_ms = find_report_interval(entries)
         clocks.pause(hurry_ms)
         forwarder.hurry.wait((pause_ms - hurry_ms) / clocks.MS_PER_S)
         forwarder.hurry.clear()
-        exchange(reporter)
+        exchange_reports(reporter)
 
 
-def find_pause(entries: int) -> float:
+def find_report_interval(entries: int) -> float:
     """Returns the pause between two reports of an entry, ms."""
-    return max(REPORT_MS, REPORT_PER_ENTRY_MS * entries)
+    return max(REPORT_INTERVAL_MS, REPORT_INTERVAL_PER_ENTRY_MS * entries)
 
 
-def find_room(link_mbps: float, entries: int) -> float:
+def find_news_budget(link_mbps: float, entries: int) -> float:
     """Returns how many bytes of news a reply may carry."""
     bytes_per_ms = link_mbps * _BYTES_PER_MBIT / clocks.MS_PER_S
-    return bytes_per_ms * NEWS_LINK_MS / max(1, entries)
+    return bytes_per_ms * NEWS_LINK_BUDGET_MS / max(1, entries)
 
 
-def exchange(reporter: Reporter) -> None:
+def exchange_reports(reporter: Reporter) -> None:
     """Reports once to each hub, and takes in what they reply."""
     suspects.step(reporter.forwarder)
     peers = find_hubs(reporter)
     _note_hubs(reporter, peers)
     now = reporter.forwarder.clock.now()
-    wants_works = now - reporter.works_at >= WORKS_MS
+    wants_works = now - reporter.work_times_asked_at >= WORK_TIMES_INTERVAL_MS
     if wants_works:
-        reporter.works_at = now
-    replies: list[Told] = []
+        reporter.work_times_asked_at = now
+    replies: list[HubReply] = []
     rows = _take_rows(reporter.forwarder)
     for peer, services in peers.items():
         told = _ask(reporter, peer,
@@ -150,16 +152,17 @@
             replies.append(told)
     if peers and not replies:
         _spread_evidence(reporter)
-    apply(reporter, replies)
+    apply_replies(reporter, replies)
 
 
 def _ask(reporter: Reporter, peer: ports.Peer,
-         rows: dict[str, list[reports.Row]], wants_works: bool) -> Told | None:
+         rows: dict[str, list[reports.RequestSample]],
+         wants_works: bool) -> HubReply | None:
     """Reports to an entry; returns what it replied."""
     forwarder, asked_at = reporter.forwarder, reporter.forwarder.clock.now()
-    exchanged = reporter.exchanged.get(peer.instance, Exchanged())
+    versions = reporter.evidence_versions.get(peer.instance, EvidenceVersions())
     evidence, version = quarantine.list_changes(forwarder.suspects,
-                                                exchanged.told, asked_at)
+                                                versions.confirmed, asked_at)
     reply = _send(
         reporter, peer,
         reports.Report(
@@ -169,13 +172,13 @@
             }, forwarder.followed, wants_works,
             ratelimits.list_limits(forwarder.rate_limits, asked_at),
             _list_draining(forwarder), evidence, peer.instance,
-            exchanged.heard))
+            versions.received))
     if reply is None:
         return None
     suspects.merge(forwarder, reply.evidence, asked_at)
     if reply.hub == peer.instance:
-        exchanged.told, exchanged.heard = version, reply.evidence_version
-    return Told(reply, asked_at)
+        versions.confirmed, versions.received = version, reply.evidence_version
+    return HubReply(reply, asked_at)
 
 
 def _note_hubs(reporter: Reporter, peers: dict[ports.Peer, set[str]]) -> None:
@@ -183,8 +186,9 @@
     first = next(iter(peers), None)
     reporter.forwarder.tries_suspects = (first is not None and
                                          first.instance == reporter.instance)
-    reporter.exchanged = {
-        peer.instance: reporter.exchanged.get(peer.instance, Exchanged())
+    reporter.evidence_versions = {
+        peer.instance:
+            reporter.evidence_versions.get(peer.instance, EvidenceVersions())
         for peer in peers
     }
 
@@ -192,7 +196,8 @@
 def _spread_evidence(reporter: Reporter) -> None:
     """Tells any other entry what no hub knows yet, while none answers."""
     forwarder = reporter.forwarder
-    told = max((row.told for row in reporter.exchanged.values()), default=0)
+    told = max((row.confirmed for row in reporter.evidence_versions.values()),
+               default=0)
     others = sorted(requests.list_others(forwarder))
     if others and told < forwarder.suspects.version:
         _ask(reporter, ports.Peer('', forwarder.generator.choice(others)), {},
@@ -212,7 +217,8 @@
     return peers
 
 
-def answer(reporter: Reporter, found: reports.Report) -> reports.Reply:
+def handle_report(reporter: Reporter,
+                  found: reports.Report) -> reports.ReportReply:
     """Takes in an entry's report and returns what follows from all."""
     forwarder = reporter.forwarder
     now, table = forwarder.clock.now(), reporter.table
@@ -220,31 +226,31 @@
     known = forwarder.freshness.known
     configuration_revision = forwarder.configuration_revision
     revision, version = forwarder.followed, forwarder.newest_version
-    hub.note_inflight(table, found.entry, found.inflight, now)
+    hub.record_inflight(table, found.entry, found.inflight, now)
     suspects.merge(forwarder, found.evidence, now)
     heard = found.evidence_seen if found.hub == reporter.instance else 0
     evidence, evidence_version = quarantine.list_changes(
         forwarder.suspects, heard, now)
-    hub.note_limits(table, found.limits, now)
+    hub.record_limits(table, found.limits, now)
     if found.draining:
-        reporter.tell(control.DrainingReported(found.draining))
+        reporter.send_control(control.DrainingReported(found.draining))
     if found.rows:
-        reporter.tell(control.Reported(found.rows))
+        reporter.send_control(control.Reported(found.rows))
     assignments = {
         name: item
         for name, item in forwarder.snapshot.assignments.items()
         if item.next_fence > found.known.get(name, 0)
     }
-    return reports.Reply(
-        others=hub.count_others(table, found.entry, now),
+    return reports.ReportReply(
+        others=hub.count_others_inflight(table, found.entry, now),
         assignments=assignments,
         coordinated=_tell_coordinated(reporter, found.wants_works),
         revision=revision,
         since=found.revision,
         changes=forwarder.platform.store.tell_news(
             found.revision,
-            find_room(forwarder.platform.settings.link_mbps,
-                      len(forwarder.snapshot.entries)), None),
+            find_news_budget(forwarder.platform.settings.link_mbps,
+                             len(forwarder.snapshot.entries)), None),
         news_age_ms=requests.find_age(forwarder, known.servers_at),
         version=version,
         configuration_age_ms=requests.find_age(forwarder,
@@ -268,7 +274,8 @@
     }
 
 
-def ask_peers(reporter: Reporter, whole: bool) -> ports.Everything | None:
+def fetch_state_from_peer(reporter: Reporter,
+                          whole: bool) -> ports.Everything | None:
     """Asks another entry what the store holds.
 
     Args:
@@ -284,13 +291,13 @@
         return None
     address = forwarder.generator.choice(sorted(known))
     hubs = known & {peer.address for peer in find_hubs(reporter)}
-    if whole and hubs and forwarder.generator.random() < HUB_PART:
+    if whole and hubs and forwarder.generator.random() < HUB_PROBABILITY:
         address = min(hubs)
-    return ask_state(reporter, address, 0 if whole else forwarder.followed)
+    return fetch_state(reporter, address, 0 if whole else forwarder.followed)
 
 
-def ask_state(reporter: Reporter, address: str,
-              since: int) -> ports.Everything | None:
+def fetch_state(reporter: Reporter, address: str,
+                since: int) -> ports.Everything | None:
     """Asks an entry what has changed in the store.
 
     Args:
@@ -303,27 +310,28 @@
     """
     result = reporter.caller.call(
         address, httpcalls.Request('POST', STATE_PATH,
-                                   str(since).encode()), STATE_MS, TIMEOUT_MS)
+                                   str(since).encode()), STATE_TIMEOUT_MS,
+        TIMEOUT_MS)
     if isinstance(result, outcomes.Failed) or result.status != 200:
         return None
     return reporter.forwarder.platform.store.restore(result.body)
 
 
 def _send(reporter: Reporter, peer: ports.Peer,
-          found: reports.Report) -> reports.Reply | None:
+          found: reports.Report) -> reports.ReportReply | None:
     if peer.instance == reporter.instance:
-        return answer(reporter, found)
+        return handle_report(reporter, found)
     clock = reporter.forwarder.clock
-    pause_ms = find_pause(len(reporter.forwarder.snapshot.entries))
+    pause_ms = find_report_interval(len(reporter.forwarder.snapshot.entries))
     data = reports.encode_report(found)
     sent_at = clock.now()
     result = reporter.caller.call(peer.address,
                                   httpcalls.Request('POST', PATH, data),
-                                  max(TIMEOUT_MS, TIMEOUT_PAUSES * pause_ms))
+                                  max(TIMEOUT_MS, TIMEOUT_INTERVALS * pause_ms))
     _note_reply(reporter, peer, len(data), clock.now() - sent_at, result)
     if isinstance(result, outcomes.Failed) or result.status != 200:
         return None
-    return reports.decode_reply(result.body)
+    return reports.decode_report_reply(result.body)
 
 
 def _note_reply(reporter: Reporter, peer: ports.Peer, sent_bytes: int,
@@ -331,7 +339,7 @@
                 result: httpcalls.Reply | outcomes.Failed) -> None:
     """Tells of a reply that didn't come, or was slow."""
     failed = isinstance(result, outcomes.Failed)
-    if not failed and result.status == 200 and took_ms < SLOW_MS:
+    if not failed and result.status == 200 and took_ms < SLOW_REPLY_MS:
         return
     reporter.forwarder.logger.info(
         'report_lost' if failed else 'report_slow',
@@ -342,15 +350,15 @@
         reply_bytes=0 if failed else len(result.body))
 
 
-def _apply_rate_limits(reporter: Reporter, told: Told) -> None:
+def _apply_rate_limits(reporter: Reporter, told: HubReply) -> None:
     """Updates the entry's rate limits from a hub's reply."""
     forwarder = reporter.forwarder
     for server, (rate, age_ms) in told.reply.limits.items():
         ratelimits.note_reported_limit(forwarder.rate_limits, server, rate,
-                                       told.asked_at - age_ms, forwarder.logger)
+                                       told.sent_at - age_ms, forwarder.logger)
 
 
-def apply(reporter: Reporter, replies: list[Told]) -> None:
+def apply_replies(reporter: Reporter, replies: list[HubReply]) -> None:
     """Takes in what the hubs told; what none tells any more is forgotten."""
     forwarder = reporter.forwarder
     now = forwarder.clock.now()
@@ -359,11 +367,11 @@
         reply = told.reply
         coordinated.update(reply.coordinated)
         _hear_assignments(reporter, reply)
-        heard = tables.News(reply.revision, told.asked_at - reply.news_age_ms,
+        heard = tables.News(reply.revision, told.sent_at - reply.news_age_ms,
                             reply.since, reply.changes, reply.version,
-                            told.asked_at - reply.configuration_age_ms,
+                            told.sent_at - reply.configuration_age_ms,
                             reply.configuration_revision)
-        reporter.hear(heard)
+        reporter.on_news(heard)
         _apply_rate_limits(reporter, told)
         with forwarder.lock:
             for name, state in forwarder.states.items():
@@ -380,16 +388,18 @@
                 state.shared_ms = work_ms
 
 
-def _hear_assignments(reporter: Reporter, reply: reports.Reply) -> None:
+def _hear_assignments(reporter: Reporter, reply: reports.ReportReply) -> None:
     for name, item in reply.assignments.items():
         known = reporter.forwarder.snapshot.assignments.get(name)
         if known is None or keyranges.is_newer(item, known):
-            reporter.tell(control.AssignmentHeard(item))
+            reporter.send_control(control.AssignmentHeard(item))
 
 
-def _take_rows(forwarder: requests.Forwarder) -> dict[str, list[reports.Row]]:
+def _take_rows(
+        forwarder: requests.Forwarder
+) -> dict[str, list[reports.RequestSample]]:
     samples, forwarder.samples = forwarder.samples, []
-    rows: dict[str, list[reports.Row]] = {}
+    rows: dict[str, list[reports.RequestSample]] = {}
     for item in samples:
         rows.setdefault(item.service, []).append(
             (item.key, item.server, round(item.work_ms, 1)))
--- a/lentilmoor/edge/reports.py
+++ b/lentilmoor/edge/reports.py
@@ -17,9 +17,9 @@
 
 _T = TypeVar('_T')
 # The age of what was never heard; JSON knows no infinity.
-NEVER_MS = 1e9
+UNKNOWN_AGE_MS = 1e9
 
-Row = tuple[int, str, float]
+RequestSample = tuple[int, str, float]
 """Key, server id, time of work in ms; 0 if the server did not run it."""
 
 ReportedLimits = dict[str, tuple[float | None, float]]
@@ -46,7 +46,7 @@
     """
 
     entry: str
-    rows: dict[str, list[Row]]
+    rows: dict[str, list[RequestSample]]
     inflight: dict[str, int]
     known: dict[str, int]
     revision: int = 0
@@ -60,7 +60,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
+class ReportReply:
     """What follows from all entries' reports.
 
     Attributes:
@@ -87,9 +87,9 @@
     revision: int = 0
     since: int = 0
     changes: bytes | None = None
-    news_age_ms: float = NEVER_MS
+    news_age_ms: float = UNKNOWN_AGE_MS
     version: int = 0
-    configuration_age_ms: float = NEVER_MS
+    configuration_age_ms: float = UNKNOWN_AGE_MS
     configuration_revision: int = 0
     limits: ReportedLimits = dataclasses.field(default_factory=dict)
     hub: str = ''
@@ -138,7 +138,7 @@
     news_age_ms: float
     version: int
     held_ms: float
-    configuration_age_ms: float = NEVER_MS
+    configuration_age_ms: float = UNKNOWN_AGE_MS
     configuration_revision: int = 0
     unanswered_ms: float = 0.0
 
@@ -181,12 +181,12 @@
     return _decode(_read_report, data)
 
 
-def encode_reply(reply: Reply) -> bytes:
+def encode_report_reply(reply: ReportReply) -> bytes:
     """Returns a reply as it travels."""
     return msgspec.json.encode(reply)
 
 
-def decode_reply(data: bytes) -> Reply | None:
+def decode_report_reply(data: bytes) -> ReportReply | None:
     """Returns a reply, or None if it doesn't parse."""
     return _decode(_read_reply, data)
 
@@ -229,7 +229,7 @@
 
 
 _read_report = msgspec.json.Decoder(Report).decode
-_read_reply = msgspec.json.Decoder(Reply).decode
+_read_reply = msgspec.json.Decoder(ReportReply).decode
 _read_news_request = msgspec.json.Decoder(NewsRequest).decode
 _read_news_reply = msgspec.json.Decoder(NewsReply).decode
 _read_permit_request = msgspec.json.Decoder(PermitRequest).decode
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -213,7 +213,7 @@
 
 def find_age(forwarder: Forwarder, known_at: float) -> float:
     """Returns how long ago a time was, ms."""
-    return min(forwarder.clock.now() - known_at, reports.NEVER_MS)
+    return min(forwarder.clock.now() - known_at, reports.UNKNOWN_AGE_MS)
 
 
 def list_others(forwarder: Forwarder) -> set[str]:
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -24,21 +24,22 @@
 
 PATH = '/news'
 # Changes that come in quick succession are told together.
-PAUSE_MS = 30.0
-CONNECT_MS = 300.0
+BATCH_INTERVAL_MS = 30.0
+CONNECT_TIMEOUT_MS = 300.0
 # Entries that are asked at a time by one whose copy of the store is old.
-SEEK_PEERS = 3
+RANDOM_PEERS = 3
 
 
-def listen(follower: knowledge.Follower) -> None:
+def request_news_forever(follower: knowledge.Follower) -> None:
     """Asks for news for as long as the process lives."""
     avoided: dict[str, float] = {}
     while True:
         follower.place = find_place(follower)
-        clocks.pause(exchange(follower, avoided))
+        clocks.pause(request_news(follower, avoided))
 
 
-def exchange(follower: knowledge.Follower, avoided: dict[str, float]) -> float:
+def request_news(follower: knowledge.Follower, avoided: dict[str,
+                                                             float]) -> float:
     """Asks once for news, if there is somebody to ask.
 
     Args:
@@ -52,7 +53,7 @@
     if follower.place is None or follower.seen is None:
         return limits.hold_ms
     began = follower.clock.now()
-    address = choose(follower.place, avoided, began)
+    address = choose_parent(follower.place, avoided, began)
     heard = _ask(follower, address, True)
     now = follower.clock.now()
     if heard is not None:
@@ -63,11 +64,11 @@
     if heard is None or began - heard.seen_at > limits.seek_ms:
         avoided[address] = now + limits.seek_ms
     if heard is not None and heard.changes:
-        return PAUSE_MS
-    return max(PAUSE_MS, limits.hold_ms - (now - began))
+        return BATCH_INTERVAL_MS
+    return max(BATCH_INTERVAL_MS, limits.hold_ms - (now - began))
 
 
-def seek(follower: knowledge.Follower) -> None:
+def ask_random_peers(follower: knowledge.Follower) -> None:
     """Asks others at random if what is known is old; returns at once."""
     forwarder, now = follower.reporter.forwarder, follower.clock.now()
     limits, known = forwarder.limits, forwarder.freshness.known
@@ -88,7 +89,7 @@
         follower.probed_at = now
         follower.probe()
     others = sorted(requests.list_others(forwarder))
-    chosen = forwarder.generator.sample(others, min(SEEK_PEERS, len(others)))
+    chosen = forwarder.generator.sample(others, min(RANDOM_PEERS, len(others)))
     for position, address in enumerate(chosen):
         if follower.seeking.acquire(blocking=False):
             # One of them tells the configuration: it may be large.
@@ -134,14 +135,15 @@
     if not follower.learning.acquire(blocking=False):
         return
     try:
-        found = reporting.ask_state(follower.reporter, address, 0)
+        found = reporting.fetch_state(follower.reporter, address, 0)
         if found is not None:
             knowledge.take(follower, found, True)
     finally:
         follower.learning.release()
 
 
-def choose(place: relays.Place, avoided: dict[str, float], now: float) -> str:
+def choose_parent(place: relays.Place, avoided: dict[str, float],
+                  now: float) -> str:
     """Returns whom to ask: the first that isn't avoided, or was so longest."""
     return min(place.parents,
                key=lambda address: max(0.0,
@@ -177,7 +179,8 @@
     wait_ms = forwarder.limits.hold_ms if waits else 0.0
     result = reporter.caller.call(address,
                                   httpcalls.Request('POST', PATH, data),
-                                  wait_ms + forwarder.limits.ask_ms, CONNECT_MS)
+                                  wait_ms + forwarder.limits.ask_ms,
+                                  CONNECT_TIMEOUT_MS)
     failed = isinstance(result, outcomes.Failed)
     reply = None
     if not failed and result.status == 200:
@@ -202,8 +205,8 @@
                        reply.configuration_revision)
 
 
-def answer(follower: knowledge.Follower,
-           asked: reports.NewsRequest) -> reports.NewsReply | None:
+def handle_news_request(follower: knowledge.Follower,
+                        asked: reports.NewsRequest) -> reports.NewsReply | None:
     """Tells what has changed, once there is something; None if nothing known.
 
     Args:
@@ -224,15 +227,15 @@
     if seen is None:
         return None
     store, settings = forwarder.platform.store, forwarder.platform.settings
-    room = reporting.find_room(settings.link_mbps, relays.FANOUT)
+    room = reporting.find_news_budget(settings.link_mbps, relays.FANOUT)
     return reports.NewsReply(
         revision=seen.revision,
         since=asked.revision,
         changes=store.tell_news(asked.revision, room, asked.version),
-        news_age_ms=min(known_at - known.servers_at, reports.NEVER_MS),
+        news_age_ms=min(known_at - known.servers_at, reports.UNKNOWN_AGE_MS),
         version=forwarder.newest_version,
         held_ms=known_at - began,
         configuration_age_ms=min(known_at - known.configuration_at,
-                                 reports.NEVER_MS),
+                                 reports.UNKNOWN_AGE_MS),
         configuration_revision=configuration_revision,
         unanswered_ms=store.find_silence())
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -88,7 +88,7 @@
         self.forwarder.limits = settings.limits
         self.actor = control.Control.start(
             beliefs.Beliefs(settings.instance), self.forwarder, platform,
-            logger, lambda: following.follow_again(self.follower))
+            logger, lambda: following.restart_following(self.follower))
         reporter = reporting.Reporter(settings.instance, self.forwarder, self,
                                       self.actor.tell)
         self.follower = knowledge.Follower(
@@ -96,7 +96,7 @@
             clock, logger, self._take,
             lambda reason: self.actor.tell(control.StoreLost(reason)))
         self.follower.probe = lambda: self.actor.tell(control.Probe())
-        reporter.hear = functools.partial(knowledge.take_news, self.follower)
+        reporter.on_news = functools.partial(knowledge.take_news, self.follower)
         self._pages = {
             subscriptions.PATH: self._tell_news,
             reporting.PATH: self._take_report,
@@ -105,23 +105,23 @@
 
     def start(self) -> None:
         """Begins to follow."""
-        following.follow_again(self.follower)
+        following.restart_following(self.follower)
         avoided: dict[str, float] = {}
 
         def listen():
             self.follower.place = subscriptions.find_place(self.follower)
-            pause_ms = subscriptions.exchange(self.follower, avoided)
+            pause_ms = subscriptions.request_news(self.follower, avoided)
             time.sleep(pause_ms / clocks.MS_PER_S)
 
         def tick():
             time.sleep(_TICK_S)
             self.actor.tell(control.Tick(self.follower.clock.now()))
-            following.check(self.follower)
-            subscriptions.seek(self.follower)
+            following.restart_if_silent(self.follower)
+            subscriptions.ask_random_peers(self.follower)
 
         def report():
             time.sleep(0.25)
-            reporting.exchange(self.follower.reporter)
+            reporting.exchange_reports(self.follower.reporter)
 
         for work in (listen, tick, report):
             self._fleet.start(functools.partial(self._run, work))
@@ -179,14 +179,14 @@
         return self._pages[target](body)
 
     def _tell_news(self, body: bytes) -> tuple[int, bytes]:
-        reply = subscriptions.answer(self.follower,
-                                     reports.decode_news_request(body))
+        reply = subscriptions.handle_news_request(
+            self.follower, reports.decode_news_request(body))
         return (200, reports.encode_news(reply)) if reply else (503, b'')
 
     def _take_report(self, body: bytes) -> tuple[int, bytes]:
-        reply = reporting.answer(self.follower.reporter,
-                                 reports.decode_report(body))
-        return 200, reports.encode_reply(reply)
+        reply = reporting.handle_report(self.follower.reporter,
+                                        reports.decode_report(body))
+        return 200, reports.encode_report_reply(reply)
 
     def _tell_state(self, body: bytes) -> tuple[int, bytes]:
         return 200, self.follower.store.dump(int(body))
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -338,10 +338,10 @@
         self.follower.begun = 1
         now = self.follower.clock.now()
         self.forwarder.heard = tables.News(5, now)
-        following.follow_again(self.follower)
+        following.restart_following(self.follower)
         self.assertEqual(self.follower.begun, 1)
         self.forwarder.heard = tables.News(5, now - 10_000.0)
-        following.follow_again(self.follower)
+        following.restart_following(self.follower)
         self.assertEqual(self.follower.begun, 2)
         self.follower.begun = 3
 
@@ -350,12 +350,12 @@
         self.follower.begun, self.follower.began_at = 1, now - 60_000.0
         silent_ms = self.forwarder.limits.silent_ms
         self.forwarder.heard = tables.News(5, now - silent_ms / 2)
-        following.check(self.follower)
+        following.restart_if_silent(self.follower)
         self.assertEqual(self.follower.begun, 1)
         self.forwarder.heard = tables.News(5, now - silent_ms - 1.0)
-        following.check(self.follower)
+        following.restart_if_silent(self.follower)
         self.assertEqual(self.follower.begun, 2)
-        following.check(self.follower)
+        following.restart_if_silent(self.follower)
         self.assertEqual(self.follower.begun, 2)
         platformhelp.wait_until(lambda: self.taken, 3.0)
         self.follower.begun = 3
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -104,8 +104,11 @@
 
             def call(self, *unused_args):
                 time_.advance(900.0)
-                reply = reports.Reply({}, {}, {}, revision=5, news_age_ms=100.0)
-                return httpcalls.Reply(200, {}, reports.encode_reply(reply))
+                reply = reports.ReportReply({}, {}, {},
+                                            revision=5,
+                                            news_age_ms=100.0)
+                return httpcalls.Reply(200, {},
+                                       reports.encode_report_reply(reply))
 
         forwarder = requests.Forwarder(time_.clock(), mock.Mock(),
                                        logs.make_logger('test'), None)
@@ -115,12 +118,13 @@
         follower = knowledge.Follower(ports.Peer('e9', 'a:9'), reporter, None,
                                       forwarder.clock, forwarder.logger,
                                       mock.Mock(), mock.Mock())
-        reporter.hear = functools.partial(knowledge.take_news, follower)
-        reporting.exchange(reporter)
+        reporter.on_news = functools.partial(knowledge.take_news, follower)
+        reporting.exchange_reports(reporter)
         # What isn't taken in makes nothing newer.
-        self.assertEqual(requests.find_news_age(forwarder), reports.NEVER_MS)
+        self.assertEqual(requests.find_news_age(forwarder),
+                         reports.UNKNOWN_AGE_MS)
         follower.seen = ports.Everything(None, {}, {}, {}, {}, 5)
-        reporting.exchange(reporter)
+        reporting.exchange_reports(reporter)
         self.assertEqual(requests.find_news_age(forwarder), 1_000.0)
 
 
@@ -184,7 +188,7 @@
         for peer in stuck:
             self.assertTrue(select.select([peer], [], [], 5.0)[0])
         # As long as an entry waits for its reply.
-        bound_s = (reporting.TIMEOUT_PAUSES * reporting.REPORT_MS /
+        bound_s = (reporting.TIMEOUT_INTERVALS * reporting.REPORT_INTERVAL_MS /
                    clocks.MS_PER_S)
         for _ in range(4):
             began = time.monotonic()
--- a/tests/test_edge_knowledge.py
+++ b/tests/test_edge_knowledge.py
@@ -46,10 +46,10 @@
                                            self.reporter, self.store,
                                            self.clock, logger, self._take,
                                            mock.Mock())
-        self.reporter.hear = lambda heard: knowledge.take_news(
+        self.reporter.on_news = lambda heard: knowledge.take_news(
             self.follower, heard)
         self.standin.put('op/config', platformhelp.make_configuration(1))
-        self.assertTrue(following.read(self.follower, 0))
+        self.assertTrue(following.read_store(self.follower, 0))
 
     def _take(self, found, unused_heard):
         freshness = self.forwarder.freshness
@@ -75,15 +75,15 @@
         self.standin.put('lentilmoor/entry/f', b'["f", "a:8", false]')
         self.assertLess(self.forwarder.freshness.known.configuration_at,
                         acked_at)
-        following.read(self.follower, 0)
+        following.read_store(self.follower, 0)
         self.assertEqual(self.forwarder.version, 2)
 
     def test_a_hub_that_hears_itself_learns_nothing(self):
         acked_at = self._learn_without_the_newest()
         own = reports.Report('e1', {}, {}, {}, self.forwarder.followed)
-        told = reporting.Told(reporting.answer(self.reporter, own),
-                              self.clock.now())
-        reporting.apply(self.reporter, [told])
+        told = reporting.HubReply(reporting.handle_report(self.reporter, own),
+                                  self.clock.now())
+        reporting.apply_replies(self.reporter, [told])
         self._check_newest_is_read(acked_at)
 
     def test_one_that_knows_less_proves_no_newest_configuration(self):
--- a/tests/test_edge_lost_takes.py
+++ b/tests/test_edge_lost_takes.py
@@ -66,7 +66,7 @@
 
         self.follower.store = dataclasses.replace(
             self.store, load_configuration=load_beside_news)
-        following.read(self.follower, 1)
+        following.read_store(self.follower, 1)
         self._check()
 
     def test_news_while_it_is_parsed(self):
@@ -84,13 +84,13 @@
             return parse(data)
 
         with mock.patch.object(documents, 'parse_configuration', parse_slowly):
-            following.read(self.follower, 1)
+            following.read_store(self.follower, 1)
         for thread in threads:
             thread.join(3.0)
         self._check()
 
     def test_without_news_beside_it(self):
-        following.read(self.follower, 1)
+        following.read_store(self.follower, 1)
         self._check()
 
 
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -72,19 +72,19 @@
         assignment = keyranges.Assignment('x', 2, 9, (_range(0, 9, 'a'),),
                                           {'a': 3.0}, {'a': 'a:1'}, 'e1')
         told = tables.Coordinated([(1, 2)], {'s1': 12.5})
-        reply = reports.Reply({'s1': 3}, {'x': assignment}, {'x': told},
-                              evidence=[_EVIDENCE])
-        found = reports.decode_reply(reports.encode_reply(reply))
+        reply = reports.ReportReply({'s1': 3}, {'x': assignment}, {'x': told},
+                                    evidence=[_EVIDENCE])
+        found = reports.decode_report_reply(reports.encode_report_reply(reply))
         self.assertEqual(found, reply)
         self.assertEqual(found.assignments['x'].addresses, {'a': 'a:1'})
 
     def test_newest_answer_determines_rate_limit(self):
         # A late report must not replace a limit from a newer answer.
         table = hub.HubTable()
-        hub.note_limits(table, {'s1': (8.5, 100.0)}, 1_000.0)
-        hub.note_limits(table, {'s1': (None, 300.0)}, 1_100.0)
+        hub.record_limits(table, {'s1': (8.5, 100.0)}, 1_000.0)
+        hub.record_limits(table, {'s1': (None, 300.0)}, 1_100.0)
         self.assertEqual(hub.list_limits(table, 1_200.0), {'s1': (8.5, 300.0)})
-        hub.note_limits(table, {'s1': (None, 50.0)}, 1_300.0)
+        hub.record_limits(table, {'s1': (None, 50.0)}, 1_300.0)
         self.assertEqual(hub.list_limits(table, 1_300.0), {'s1': (None, 50.0)})
         self.assertEqual(
             hub.list_limits(table, 1_300.0 + hub.LIMIT_RETENTION_MS), {})
@@ -92,7 +92,7 @@
     def test_what_is_no_report_is_refused(self):
         for data in (b'', b'[]', b'{"entry": 1}', b'\xff'):
             self.assertIsNone(reports.decode_report(data))
-            self.assertIsNone(reports.decode_reply(data))
+            self.assertIsNone(reports.decode_report_reply(data))
 
 
 class LoadsTest(unittest.TestCase):
@@ -263,13 +263,21 @@
 
     def test_requests_under_way_add_up_over_entries(self):
         table = hub.HubTable()
-        hub.note_inflight(table, 'e1', {'a': 2}, 0.0)
-        hub.note_inflight(table, 'e2', {'a': 3, 'b': 1}, 0.0)
-        self.assertEqual(hub.count_others(table, 'e1', 10.0), {'a': 3, 'b': 1})
-        hub.note_inflight(table, 'e2', {'b': 2}, 5.0)
-        self.assertEqual(hub.count_others(table, 'e1', 10.0), {'b': 2})
-        self.assertEqual(hub.count_others(table, 'e3', 10.0), {'a': 2, 'b': 2})
-        self.assertEqual(hub.count_others(table, 'e1', hub.FRESH_MS + 10.0), {})
+        hub.record_inflight(table, 'e1', {'a': 2}, 0.0)
+        hub.record_inflight(table, 'e2', {'a': 3, 'b': 1}, 0.0)
+        self.assertEqual(hub.count_others_inflight(table, 'e1', 10.0), {
+            'a': 3,
+            'b': 1
+        })
+        hub.record_inflight(table, 'e2', {'b': 2}, 5.0)
+        self.assertEqual(hub.count_others_inflight(table, 'e1', 10.0), {'b': 2})
+        self.assertEqual(hub.count_others_inflight(table, 'e3', 10.0), {
+            'a': 2,
+            'b': 2
+        })
+        self.assertEqual(
+            hub.count_others_inflight(table, 'e1',
+                                      hub.REPORT_RETENTION_MS + 10.0), {})
 
 
 def _make_crashes() -> list[quarantine.Evidence]:
@@ -305,15 +313,16 @@
         self.forwarder.snapshot = tables.Snapshot(None, {}, {}, peers, {})
         self.replies = {
             'a:1':
-                reports.Reply({}, {},
-                              {'x': tables.Coordinated([(1, 2)], {'s1': 30.0})},
-                              hub='e1',
-                              evidence=_make_crashes(),
-                              evidence_version=4),
+                reports.ReportReply(
+                    {}, {}, {'x': tables.Coordinated([(1, 2)], {'s1': 30.0})},
+                    hub='e1',
+                    evidence=_make_crashes(),
+                    evidence_version=4),
             'a:2':
-                reports.Reply({'s2': 3}, {},
-                              {'y': tables.Coordinated([(7, 9)], {'s2': 70.0})},
-                              hub='e2'),
+                reports.ReportReply(
+                    {'s2': 3}, {},
+                    {'y': tables.Coordinated([(7, 9)], {'s2': 70.0})},
+                    hub='e2'),
         }
         self.reporter = reporting.Reporter('e9', self.forwarder, self, None)
         self.sent: list[tuple[str, reports.Report]] = []
@@ -323,11 +332,11 @@
         self.sent.append((address, reports.decode_report(request.body)))
         if address not in self.replies:
             return outcomes.Failed(outcomes.Reason.CONNECT_FAILED, 'down')
-        data = reports.encode_reply(self.replies[address])
+        data = reports.encode_report_reply(self.replies[address])
         return httpcalls.Reply(200, {}, data)
 
     def test_what_each_tells_of_its_service_stands_beside_the_other(self):
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         self.assertEqual(self.forwarder.unserved, {
             'x': [(1, 2)],
             'y': [(7, 9)]
@@ -336,16 +345,16 @@
         self.assertEqual(self.forwarder.states['s2'].shared_ms, 70.0)
 
     def test_what_a_lost_one_told_of_its_service_is_forgotten(self):
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         del self.replies['a:1']
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         self.assertEqual(self.forwarder.unserved, {'y': [(7, 9)]})
 
     def test_what_a_lost_one_told_to_be_blocked_stays_blocked(self):
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         del self.replies['a:1']
         for _ in range(2):
-            reporting.exchange(self.reporter)
+            reporting.exchange_reports(self.reporter)
             self.assertEqual(
                 quarantine.list_blocked(self.forwarder.suspects, 0.0).keys(),
                 {_EVIDENCE.fingerprint})
@@ -353,11 +362,11 @@
     def test_evidence_is_told_again_until_it_has_arrived(self):
         quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
         replies, self.replies = self.replies, {}
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         self.replies = replies
         self.sent.clear()
         for _ in range(3):
-            reporting.exchange(self.reporter)
+            reporting.exchange_reports(self.reporter)
         told = [[item.server
                  for item in report.evidence]
                 for address, report in self.sent
@@ -367,16 +376,16 @@
 
     def test_another_process_at_the_address_of_the_hub_is_told_everything(self):
         quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
-        reporting.exchange(self.reporter)
-        self.replies['a:2'] = reports.Reply({}, {}, {}, hub='other')
+        reporting.exchange_reports(self.reporter)
+        self.replies['a:2'] = reports.ReportReply({}, {}, {}, hub='other')
         quarantine.report_end(self.forwarder.suspects, 'x', 's8', 0.0)
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         peers = self.forwarder.snapshot.coordinators | {
             'y': ports.Peer('other', 'a:2')
         }
         self.forwarder.snapshot = tables.Snapshot(None, {}, {}, peers, {})
         self.sent.clear()
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         told = {
             item.server for address, report in self.sent if address == 'a:2'
             for item in report.evidence
@@ -385,19 +394,19 @@
 
     def test_evidence_goes_to_others_where_no_hub_answers(self):
         quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
-        self.replies = {'a:3': reports.Reply({}, {}, {}, hub='e3')}
+        self.replies = {'a:3': reports.ReportReply({}, {}, {}, hub='e3')}
         self.forwarder.snapshot = tables.Snapshot(
             None, {}, {}, self.forwarder.snapshot.coordinators,
             {'e3': ports.Peer('e3', 'a:3')})
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         address, report = self.sent[-1]
         self.assertEqual(address, 'a:3')
         self.assertEqual([item.server for item in report.evidence], ['s9'])
 
     def test_an_entry_tells_only_of_services_that_it_coordinates(self):
-        reporting.exchange(self.reporter)
+        reporting.exchange_reports(self.reporter)
         report = reports.Report('e3', {}, {}, {})
-        found = reporting.answer(self.reporter, report)
+        found = reporting.handle_report(self.reporter, report)
         self.assertEqual(found.coordinated, {})
         self.assertEqual(found.changes, b'news')
 
--- a/tests/test_edge_staleness.py
+++ b/tests/test_edge_staleness.py
@@ -103,7 +103,7 @@
         stack.enter_context(mock.patch.object(relays, 'DIRECT', 3))
         if small_room:
             stack.enter_context(
-                mock.patch('lentilmoor.edge.reporting.find_room',
+                mock.patch('lentilmoor.edge.reporting.find_news_budget',
                            return_value=200.0))
         yield stack.enter_context(copyfleets.Fleet())
 
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -105,11 +105,13 @@
 
     def test_who_is_avoided_is_asked_last(self):
         place = relays.Place(False, ('a', 'b', 'c'))
-        self.assertEqual(subscriptions.choose(place, {}, 100.0), 'a')
-        self.assertEqual(subscriptions.choose(place, {'a': 200.0}, 100.0), 'b')
-        self.assertEqual(subscriptions.choose(place, {'a': 90.0}, 100.0), 'a')
+        self.assertEqual(subscriptions.choose_parent(place, {}, 100.0), 'a')
         self.assertEqual(
-            subscriptions.choose(place, {
+            subscriptions.choose_parent(place, {'a': 200.0}, 100.0), 'b')
+        self.assertEqual(subscriptions.choose_parent(place, {'a': 90.0}, 100.0),
+                         'a')
+        self.assertEqual(
+            subscriptions.choose_parent(place, {
                 'a': 300.0,
                 'b': 200.0,
                 'c': 400.0
@@ -166,8 +168,8 @@
         return follower
 
     def _answer(self, follower, body):
-        reply = subscriptions.answer(follower,
-                                     reports.decode_news_request(body))
+        reply = subscriptions.handle_news_request(
+            follower, reports.decode_news_request(body))
         return (200, reports.encode_news(reply)) if reply else (503, b'')
 
     def _listen(self, follower, *parents):
@@ -178,7 +180,8 @@
         def listen():
             while not self.ended.is_set():
                 self.ended.wait(
-                    subscriptions.exchange(follower, avoided) / clocks.MS_PER_S)
+                    subscriptions.request_news(follower, avoided) /
+                    clocks.MS_PER_S)
 
         thread = threading.Thread(target=listen)
         thread.start()
@@ -243,7 +246,7 @@
             self.hub.held.acquire()
         asked = reports.NewsRequest('e9', self.hub.seen.revision)
         began = time.monotonic()
-        reply = subscriptions.answer(self.hub, asked)
+        reply = subscriptions.handle_news_request(self.hub, asked)
         self.assertLess(time.monotonic() - began, 0.1)
         self.assertEqual(reply.changes, b'')
 
@@ -283,11 +286,12 @@
         self.forwarder.heard = tables.News(1, now - heard_ms)
         self.forwarder.freshness = staleness.Freshness(
             staleness.Times(now - heard_ms, now - heard_ms))
-        return following.find_pause(self.follower)
+        return following.find_read_interval(self.follower)
 
     def test_nobody_looks_who_is_told(self):
         for relay in (False, True):
-            self.assertEqual(self._find_pause(relay, 900.0), following.NEVER_MS)
+            self.assertEqual(self._find_pause(relay, 900.0),
+                             following.NO_READ_MS)
 
     def test_relays_look_when_the_hub_knows_nothing_new(self):
         self.assertEqual(self._find_pause(True, 1_300.0),
@@ -296,7 +300,7 @@
     def test_the_others_leave_that_to_the_relays(self):
         # 195 entries that looked for themselves while the hub couldn't reach
         # the store made 15 calls each.
-        self.assertEqual(self._find_pause(False, 1_200.0), following.NEVER_MS)
+        self.assertEqual(self._find_pause(False, 1_200.0), following.NO_READ_MS)
         self.forwarder.snapshot = mock.Mock(entries=dict.fromkeys(
             range(195), ports.Peer('e1', 'a:1')),
                                             coordinators={})
@@ -311,12 +315,12 @@
     def test_an_old_store_that_answers_again_is_left_to_the_relays(self):
         self._find_pause(False, 9_000.0)
         self.follower.begun = 1
-        following.follow_again(self.follower)
-        following.check(self.follower)
+        following.restart_following(self.follower)
+        following.restart_if_silent(self.follower)
         self.assertEqual(self.follower.begun, 1)
         self._find_pause(False, 9_000.0, 9_000.0)
         self.forwarder.platform = mock.Mock(**{'settings.seeds': ()})
-        following.follow_again(self.follower)
+        following.restart_following(self.follower)
         self.assertEqual(self.follower.begun, 2)
         self.follower.begun = 3
 
@@ -326,7 +330,7 @@
         self.forwarder.platform = mock.Mock(**{'settings.seeds': ()})
         self.follower.begun = 1
         self.follower.doing = (what, self.time.at - 1_000.0)
-        following.follow_again(self.follower)
+        following.restart_following(self.follower)
         self.addCleanup(setattr, self.follower, 'begun', 9)
         return self.follower.begun
 
@@ -390,7 +394,7 @@
             mock.Mock(), mock.Mock())
         follower.place = relays.Place(False, ('b:1',))
         self.addCleanup(setattr, follower, 'begun', 9)
-        following.follow_again(follower)
+        following.restart_following(follower)
         platformhelp.wait_until(lambda: follower.doing[0] == 'wait', 3.0)
         standin.faults.away = 'silent'
         follower.hurried.set()
@@ -399,11 +403,11 @@
         time.sleep(1.3)
         platformhelp.wait_until(
             lambda: follower.doing[0] == 'watch' and clock.now() - follower.
-            doing[1] > following.HUNG_MS, 3.0)
+            doing[1] > following.HUNG_WATCH_MS, 3.0)
         standin.faults.away = ''
         standin.put('op/config', platformhelp.make_configuration(6))
         follower.told_at = clock.now()
-        following.follow_again(follower)
+        following.restart_following(follower)
         platformhelp.wait_until(
             lambda: follower.seen.configuration.version == 6, 1.0)
 
