--- a/lentilmoor/crashes.py
+++ b/lentilmoor/crashes.py
@@ -9,27 +9,28 @@
 import math
 
 # Reports of one crash by several entries lie closer together than this.
-SAME_CRASH_MS = 1_000.0
+DUPLICATE_WINDOW_MS = 1_000.0
 # A first block lasts this long; each further crash doubles the next.
 BLOCK_MS = 600_000.0
-MOST_CRASHES = 8
+MAX_CRASHES = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rules:
+class BlockPolicy:
     """When crashes block a request.
 
     Attributes:
-      to_block: Crashes without a clean run between them that block a request.
-      same_ms: Reports of one server that lie closer together are of one crash;
-        inf where each start of a server has an id of its own.
-      apart_ms: Crashes of several servers that lie closer together count once,
-        as they may have a common cause.
+      threshold: Number of crashes without a clean run in between that block a
+        request.
+      duplicate_window_ms: Reports of crashes of one server within this time are
+        reports of the same crash; inf if each start of a server gets a new id.
+      common_cause_window_ms: Crashes of several servers within this time count
+        as one, since they may have a common cause.
     """
 
-    to_block: int = 2
-    same_ms: float = SAME_CRASH_MS
-    apart_ms: float = 0.0
+    threshold: int = 2
+    duplicate_window_ms: float = DUPLICATE_WINDOW_MS
+    common_cause_window_ms: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -52,25 +53,25 @@
     Attributes:
       service: 'team/service'.
       crashes: Crashes it was in flight at, since it last ran well.
-      ran_well_at: When its last clean run ended, ms; -inf if never.
+      clean_run_at: When its last clean run ended, ms; -inf if never.
       released_at: When an operator released it, ms; -inf if never.
       blocked_until: End of its block, ms; 0 if it was not blocked.
-      rules: When it is blocked.
+      policy: When it is blocked.
       version: Of the quarantine when this last changed.
     """
 
     service: str
     crashes: list[Crash] = dataclasses.field(default_factory=list)
-    ran_well_at: float = -math.inf
+    clean_run_at: float = -math.inf
     released_at: float = -math.inf
     blocked_until: float = 0.0
-    rules: Rules = Rules()
+    policy: BlockPolicy = BlockPolicy()
     version: int = 0
 
 
-def is_past(suspect: Suspect, now: float) -> bool:
+def is_expired(suspect: Suspect, now: float) -> bool:
     """Returns whether nothing said of a suspect matters any more."""
-    newest = max(suspect.ran_well_at,
+    newest = max(suspect.clean_run_at,
                  suspect.released_at, suspect.blocked_until,
                  *(crash.at for crash in suspect.crashes))
     return newest + BLOCK_MS < now
@@ -79,30 +80,31 @@
 def set_crashes(suspect: Suspect, crashes: list[Crash]) -> None:
     """Sets the crashes, in order, and the block that follows from them."""
     suspect.crashes = crashes
-    surplus = _count_apart(crashes, suspect.rules) - suspect.rules.to_block
+    surplus = _count_independent(crashes,
+                                 suspect.policy) - suspect.policy.threshold
     if surplus < 0:
         suspect.blocked_until = 0.0
     else:
         suspect.blocked_until = crashes[-1].at + BLOCK_MS * 2**surplus
 
 
-def _count_apart(crashes: Iterable[Crash], rules: Rules) -> int:
+def _count_independent(crashes: Iterable[Crash], policy: BlockPolicy) -> int:
     count, counted_at = 0, -math.inf
     for crash in crashes:
-        if crash.at >= counted_at + rules.apart_ms:
+        if crash.at >= counted_at + policy.common_cause_window_ms:
             count, counted_at = count + 1, crash.at
     return count
 
 
-def is_same(one: Crash, other: Crash, rules: Rules) -> bool:
+def is_duplicate(one: Crash, other: Crash, policy: BlockPolicy) -> bool:
     """Returns whether two reports are of one crash."""
     return (one.server == other.server and
-            abs(one.at - other.at) < rules.same_ms)
+            abs(one.at - other.at) < policy.duplicate_window_ms)
 
 
-def clear(suspect: Suspect, at: float) -> None:
+def apply_clean_run(suspect: Suspect, at: float) -> None:
     """Drops the crashes before a clean run."""
-    suspect.ran_well_at = max(suspect.ran_well_at, at)
+    suspect.clean_run_at = max(suspect.clean_run_at, at)
     kept = [crash for crash in suspect.crashes if crash.at > at]
     set_crashes(suspect, kept)
 
@@ -113,16 +115,16 @@
     An item's age grows a little with each hop; were every echo taken in, the
     time of one clean run would creep forward for ever.
     """
-    if (at < suspect.ran_well_at + SAME_CRASH_MS and
+    if (at < suspect.clean_run_at + DUPLICATE_WINDOW_MS and
             all(crash.at > at for crash in suspect.crashes)):
         return False
-    clear(suspect, at)
+    apply_clean_run(suspect, at)
     return True
 
 
-def release(suspect: Suspect, at: float) -> bool:
+def apply_release(suspect: Suspect, at: float) -> bool:
     """Drops the crashes before an operator's release, unless it is known."""
-    if at < suspect.released_at + SAME_CRASH_MS:
+    if at < suspect.released_at + DUPLICATE_WINDOW_MS:
         return False  # The same release by another way.
     suspect.released_at = at
     kept = [crash for crash in suspect.crashes if crash.at > at]
--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -24,7 +24,9 @@
 
 # Three crashes, as two in a row happen to sound requests when servers are lost.
 # Servers that are lost together count once.
-RULES = crashes.Rules(to_block=3, same_ms=math.inf, apart_ms=500.0)
+BLOCK_POLICY = crashes.BlockPolicy(threshold=3,
+                                   duplicate_window_ms=math.inf,
+                                   common_cause_window_ms=500.0)
 # A request that crashed so many servers is sent to one server at a time.
 _LAST_REPEAT = 2
 # A request without an answer says nothing of a crash that is learned of later.
@@ -67,7 +69,7 @@
 
 def make_quarantine() -> quarantine.Quarantine:
     """Returns an empty quarantine for servers with an id for each start."""
-    return quarantine.Quarantine(rules=RULES)
+    return quarantine.Quarantine(policy=BLOCK_POLICY)
 
 
 def make_fingerprint(request: requests.Request) -> bytes:
--- a/lentilmoor/quarantine.py
+++ b/lentilmoor/quarantine.py
@@ -6,7 +6,7 @@
 run between them block a fingerprint: it is answered as not run without
 reaching a server. All follows from the crashes, the last clean run and the last
 release; entries gossip these, so they agree without counting a crash twice.
-Where suspects can't be run alone, `crashes.Rules` asks for more crashes.
+Where suspects can't be run alone, `crashes.BlockPolicy` asks for more crashes.
 Request threads and the control actor share the table, so each change holds its
 lock; `check` takes none.
 """
@@ -87,7 +87,7 @@
       explained: Crashes that a blocked request accounts for.
       blocked: Requests answered as not run.
       dropped: Suspects forgotten for want of room.
-      rules: When requests are blocked.
+      policy: When requests are blocked.
       ends: Crashes of servers by server id, where each start has its own.
       version: Counts changes of suspects and ends.
       lock: Held while the table changes.
@@ -100,7 +100,7 @@
     explained: list[crashes.Crash] = dataclasses.field(default_factory=list)
     blocked: int = 0
     dropped: int = 0
-    rules: crashes.Rules = crashes.Rules()
+    policy: crashes.BlockPolicy = crashes.BlockPolicy()
     ends: dict[str, End] = dataclasses.field(default_factory=dict)
     version: int = 0
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
@@ -188,7 +188,7 @@
     if suspect is None or not suspect.crashes:
         return None
     with table.lock:
-        crashes.clear(suspect, now)
+        crashes.apply_clean_run(suspect, now)
         _touch(table, suspect)
     return Evidence(fingerprint, suspect.service, 0, 0.0, server)
 
@@ -245,7 +245,7 @@
         crashes.set_crashes(suspect, kept)
         _touch(table, suspect)
         if not kept:
-            suspect.ran_well_at = now
+            suspect.clean_run_at = now
             cleared.append(
                 Evidence(fingerprint, suspect.service, 0, 0.0, server))
     return cleared
@@ -358,8 +358,8 @@
     service = suspect.service
     for crash in suspect.crashes:
         yield Evidence(fingerprint, service, 1, now - crash.at, crash.server)
-    if suspect.ran_well_at > -math.inf:
-        yield Evidence(fingerprint, service, 0, now - suspect.ran_well_at)
+    if suspect.clean_run_at > -math.inf:
+        yield Evidence(fingerprint, service, 0, now - suspect.clean_run_at)
     if suspect.released_at > -math.inf:
         age_ms = now - suspect.released_at
         yield Evidence(fingerprint, service, 0, age_ms, released=True)
@@ -405,7 +405,7 @@
     }
     # Reports of a crash may still be under way for a while; only then is it
     # known which requests shared both crashes.
-    settled = now - crashes.SAME_CRASH_MS
+    settled = now - crashes.DUPLICATE_WINDOW_MS
     table.explained = [
         crash for suspect in table.suspects.values()
         if suspect.blocked_until > now for crash in suspect.crashes
@@ -414,7 +414,7 @@
     for fingerprint, suspect in list(table.suspects.items()):
         if not suspect.blocked_until:
             _drop_explained(table, suspect)
-        if crashes.is_past(suspect, now):
+        if crashes.is_expired(suspect, now):
             del table.suspects[fingerprint]
     for server, end in list(table.ends.items()):
         if end.at + crashes.BLOCK_MS < now:
@@ -431,7 +431,8 @@
 
 def _is_explained(table: Quarantine, crash: crashes.Crash) -> bool:
     return any(
-        crashes.is_same(crash, known, table.rules) for known in table.explained)
+        crashes.is_duplicate(crash, known, table.policy)
+        for known in table.explained)
 
 
 def _add_crash(table: Quarantine, fingerprint: bytes, service: str,
@@ -440,17 +441,17 @@
     if fingerprint not in table.suspects and _is_explained(table, crash):
         return
     suspect = _find_suspect(table, fingerprint, service)
-    if crash.at <= max(suspect.ran_well_at, suspect.released_at):
+    if crash.at <= max(suspect.clean_run_at, suspect.released_at):
         return
     if any(
-            crashes.is_same(crash, known, table.rules)
+            crashes.is_duplicate(crash, known, table.policy)
             for known in suspect.crashes):
         return
     if not suspect.crashes and _is_explained(table, crash):
         return
     table.doubtful[crash.server] = crash.at
     known = sorted([*suspect.crashes, crash], key=lambda item: item.at)
-    crashes.set_crashes(suspect, known[-crashes.MOST_CRASHES:])
+    crashes.set_crashes(suspect, known[-crashes.MAX_CRASHES:])
     _touch(table, suspect)
 
 
@@ -469,7 +470,7 @@
     suspect = table.suspects.get(fingerprint)
     if suspect is None:
         _make_room(table)
-        suspect = crashes.Suspect(service, rules=table.rules)
+        suspect = crashes.Suspect(service, policy=table.policy)
         table.suspects[fingerprint] = suspect
     return suspect
 
@@ -482,7 +483,7 @@
 def _release(table: Quarantine, fingerprint: bytes, service: str,
              at: float) -> None:
     suspect = _find_suspect(table, fingerprint, service)
-    if crashes.release(suspect, at):
+    if crashes.apply_release(suspect, at):
         _touch(table, suspect)
 
 
