--- a/lentilmoor/attempts.py
+++ b/lentilmoor/attempts.py
@@ -174,8 +174,8 @@
     if not suspects.suspects:
         return
     if opened_at:
-        for item in quarantine.report_survived(suspects, route.server.id,
-                                               opened_at, now):
+        for item in quarantine.report_alive(suspects, route.server.id,
+                                            opened_at, now):
             run.wiring.spread_crash(item)
     evidence = quarantine.report_clean_run(
         suspects, runs.make_fingerprint(run.call, run.body), route.server.id,
--- a/lentilmoor/dispatch.py
+++ b/lentilmoor/dispatch.py
@@ -166,7 +166,7 @@
     suspects = run.dispatcher.suspects
     fingerprint = runs.make_fingerprint(run.call, run.body)
     server = route.server.id
-    while not quarantine.start_alone(suspects, server, fingerprint):
+    while not quarantine.acquire_suspect_slot(suspects, server, fingerprint):
         if run.dispatcher.clock.now() >= run.call.deadline:
             return runs.conclude(run, _NOT_ALONE)
         clocks.pause(ALONE_LOOK_MS)
@@ -175,7 +175,7 @@
             return runs.conclude(run, _BLOCKED)
         return _try_server(run, route)
     finally:
-        quarantine.end_alone(suspects, server)
+        quarantine.release_suspect_slot(suspects, server)
 
 
 def _try_server(run: runs.Run, route: routes.Straight) -> tries.Result | None:
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -269,7 +269,7 @@
         'quarantined_requests':
             float(len(entry.forwarder.blocked)),
         'crashed_servers':
-            float(len(entry.forwarder.suspects.ends)),
+            float(len(entry.forwarder.suspects.server_crashes)),
         'limited_servers':
             float(len(entry.forwarder.rate_limits.by_server)),
         'sigterm_check_age_ms':
--- a/lentilmoor/edge/savedsuspects.py
+++ b/lentilmoor/edge/savedsuspects.py
@@ -35,7 +35,7 @@
         return
     if not forwarder.tries_suspects or owned.lost_at:
         return
-    blocked = quarantine.list_condemned(forwarder.suspects)
+    blocked = quarantine.list_uncleared_blocks(forwarder.suspects)
     for fingerprint, suspect in blocked.items():
         known = saved.get(fingerprint.hex())
         if known is None or _list_servers(suspect) - _list_servers(known):
--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -114,7 +114,7 @@
     last_at = max((crash.at for crash in suspect.crashes), default=now)
     is_first = suspect.blocked_until <= last_at + crashes.BLOCK_MS
     return (is_first and now >= last_at + TRIAL_MS and
-            quarantine.has_other_cause(table, fingerprint))
+            quarantine.has_concurrent_crashes(table, fingerprint))
 
 
 def _may_try(forwarder: requests.Forwarder, fingerprint: bytes,
@@ -184,7 +184,7 @@
                 now >= state.checked_at + _CHECK_AGAIN_MS)
         if asks:
             state.checked_at = now
-    if server.id in forwarder.suspects.ends:
+    if server.id in forwarder.suspects.server_crashes:
         _blame(forwarder, server.id)
     elif _find_known(forwarder, server).unlisted_at:
         note_unlisted(forwarder, server)
@@ -248,8 +248,8 @@
                 forwarder.losses[server.id] = kept
     if not table.suspects:
         return
-    quarantine.report_survived(table, server.id, opened_at, now,
-                               run.sent_at - _TOLD_MS)
+    quarantine.report_alive(table, server.id, opened_at, now,
+                            run.sent_at - _TOLD_MS)
     if ran:
         quarantine.report_clean_run(table, make_fingerprint(run.request),
                                     server.id, now)
@@ -270,9 +270,9 @@
 def _note_crash(forwarder: requests.Forwarder, server: tables.Server,
                 proof: str) -> None:
     """Takes in that a server has crashed, and what was lost on it."""
-    if server.id not in forwarder.suspects.ends:
-        quarantine.report_end(forwarder.suspects, server.service, server.id,
-                              forwarder.clock.now())
+    if server.id not in forwarder.suspects.server_crashes:
+        quarantine.report_server_crash(forwarder.suspects, server.service,
+                                       server.id, forwarder.clock.now())
         forwarder.logger.info('server_crashed', server=server.id, proof=proof)
     _blame(forwarder, server.id)
 
--- a/lentilmoor/gauges.py
+++ b/lentilmoor/gauges.py
@@ -46,7 +46,7 @@
     ('lentilmoor_suspects', 'Requests suspected of crashing servers',
      lambda parts: len(parts.dispatcher.suspects.suspects)),
     ('lentilmoor_quarantined', 'Requests refused by the quarantine',
-     lambda parts: parts.dispatcher.suspects.blocked),
+     lambda parts: parts.dispatcher.suspects.refused_count),
     ('lentilmoor_shards', 'Shards that this entry knows',
      lambda parts: len(parts.control.shards)),
     ('lentilmoor_shards_granted', 'Shards that this entry is grantor of',
--- a/lentilmoor/quarantine.py
+++ b/lentilmoor/quarantine.py
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class End:
+class ServerCrash:
     """The crash of a server, whatever it ran.
 
     Attributes:
@@ -77,31 +77,36 @@
 
 @dataclasses.dataclass(slots=True)
 class Quarantine:
-    """The table of suspects, by fingerprint, and which of them run now.
+    """The suspects and server crashes that an entry knows.
 
     Attributes:
       suspects: By fingerprint.
-      running: The one suspect that runs at a server, by server id.
-      doubtful: Time of the newest crash by server id, while the server may
-        still be proven alive.
-      explained: Crashes that a blocked request accounts for.
-      blocked: Requests answered as not run.
-      dropped: Suspects forgotten for want of room.
+      running_suspects: Fingerprint of the one suspect that runs on a server, by
+        server id.
+      unconfirmed_crashes: Time of the newest crash that the server may still
+        refute by an answer, ms, by server id.
+      attributed_crashes: Crashes that a blocked request accounts for.
+      refused_count: Number of requests refused because they were blocked.
+      evicted_count: Number of suspects removed because the table was full.
       policy: When requests are blocked.
-      ends: Crashes of servers by server id, where each start has its own.
-      version: Counts changes of suspects and ends.
+      server_crashes: Crashes of servers, whatever they ran, by server id; each
+        start of a server has its own id.
+      version: Incremented by each change of a suspect or a server crash.
       lock: Held while the table changes.
     """
 
     suspects: dict[bytes,
                    crashes.Suspect] = dataclasses.field(default_factory=dict)
-    running: dict[str, bytes] = dataclasses.field(default_factory=dict)
-    doubtful: dict[str, float] = dataclasses.field(default_factory=dict)
-    explained: list[crashes.Crash] = dataclasses.field(default_factory=list)
-    blocked: int = 0
-    dropped: int = 0
+    running_suspects: dict[str, bytes] = dataclasses.field(default_factory=dict)
+    unconfirmed_crashes: dict[str,
+                              float] = dataclasses.field(default_factory=dict)
+    attributed_crashes: list[crashes.Crash] = dataclasses.field(
+        default_factory=list)
+    refused_count: int = 0
+    evicted_count: int = 0
     policy: crashes.BlockPolicy = crashes.BlockPolicy()
-    ends: dict[str, End] = dataclasses.field(default_factory=dict)
+    server_crashes: dict[str,
+                         ServerCrash] = dataclasses.field(default_factory=dict)
     version: int = 0
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
 
@@ -115,20 +120,21 @@
       now: ms.
 
     Returns:
-      BLOCKED: answer it as not run. SUSPECT: run it through the server's home
-      entry, after `start_alone` there; without a home, answer it as not run.
-      CLEAR: nothing is held against it.
+      BLOCKED: reject it as not run. SUSPECT: run it through the home entry of
+      the server, after `acquire_suspect_slot` there; reject it as not run if
+      the server has no home entry. CLEAR: no crashes are attributed to it.
     """
     suspect = table.suspects.get(fingerprint)
     if suspect is None or not suspect.crashes:
         return Verdict.CLEAR
     if suspect.blocked_until > now:
-        table.blocked += 1
+        table.refused_count += 1
         return Verdict.BLOCKED
     return Verdict.SUSPECT
 
 
-def start_alone(table: Quarantine, server: str, fingerprint: bytes) -> bool:
+def acquire_suspect_slot(table: Quarantine, server: str,
+                         fingerprint: bytes) -> bool:
     """Takes a server's one place for suspects.
 
     Args:
@@ -141,15 +147,15 @@
       its end, then `check` again, as it may have been cleared.
     """
     with table.lock:
-        if server in table.running:
+        if server in table.running_suspects:
             return False
-        table.running[server] = fingerprint
+        table.running_suspects[server] = fingerprint
         return True
 
 
-def end_alone(table: Quarantine, server: str) -> None:
+def release_suspect_slot(table: Quarantine, server: str) -> None:
     """Gives a server's place for suspects back."""
-    table.running.pop(server, None)
+    table.running_suspects.pop(server, None)
 
 
 def report_crash(table: Quarantine, fingerprint: bytes, service: str,
@@ -193,8 +199,8 @@
     return Evidence(fingerprint, suspect.service, 0, 0.0, server)
 
 
-def report_end(table: Quarantine, service: str, server: str,
-               now: float) -> None:
+def report_server_crash(table: Quarantine, service: str, server: str,
+                        now: float) -> None:
     """Notes that a server crashed, whatever it ran.
 
     Args:
@@ -207,11 +213,11 @@
         _add_end(table, service, server, now)
 
 
-def report_survived(table: Quarantine,
-                    server: str,
-                    since: float,
-                    now: float,
-                    until: float = math.inf) -> list[Evidence]:
+def report_alive(table: Quarantine,
+                 server: str,
+                 since: float,
+                 now: float,
+                 until: float = math.inf) -> list[Evidence]:
     """Takes back crashes of a server that turned out to be alive.
 
     Args:
@@ -225,10 +231,10 @@
     Returns:
       Evidence for the peers that those requests did no harm.
     """
-    if not since < table.doubtful.get(server, since) <= until:
+    if not since < table.unconfirmed_crashes.get(server, since) <= until:
         return []
     with table.lock:
-        table.doubtful.pop(server, None)
+        table.unconfirmed_crashes.pop(server, None)
         return _take_back(table, server, since, until, now)
 
 
@@ -326,7 +332,7 @@
                    if suspect.version > since]
         changed += [(end.version,
                      [Evidence(b'', end.service, 1, now - end.at, server)])
-                    for server, end in table.ends.items()
+                    for server, end in table.server_crashes.items()
                     if end.version > since]
         version = table.version
     changed.sort(key=lambda row: row[0])
@@ -336,7 +342,7 @@
     return [item for _, items in changed for item in items], version
 
 
-def has_other_cause(table: Quarantine, fingerprint: bytes) -> bool:
+def has_concurrent_crashes(table: Quarantine, fingerprint: bytes) -> bool:
     """Returns whether servers crashed together with those that ran a request.
 
     What lost them may have lost the others too, with the request on them.
@@ -345,12 +351,15 @@
         suspect = table.suspects.get(fingerprint)
         if suspect is None or not suspect.crashes:
             return False
-        known = {crash.server for crash in (*suspect.crashes, *table.explained)}
+        known = {
+            crash.server
+            for crash in (*suspect.crashes, *table.attributed_crashes)
+        }
         return any(
             end.service == suspect.service and server not in known and any(
                 abs(end.at - crash.at) <= _COMMON_CAUSE_MS
                 for crash in suspect.crashes)
-            for server, end in table.ends.items())
+            for server, end in table.server_crashes.items())
 
 
 def _describe(fingerprint: bytes, suspect: crashes.Suspect,
@@ -375,7 +384,7 @@
         }
 
 
-def list_condemned(table: Quarantine) -> dict[bytes, crashes.Suspect]:
+def list_uncleared_blocks(table: Quarantine) -> dict[bytes, crashes.Suspect]:
     """Returns what has been blocked and not cleared since."""
     with table.lock:
         return {
@@ -392,21 +401,21 @@
       table: The quarantine; updated.
       now: ms.
     """
-    if table.suspects or table.ends:
+    if table.suspects or table.server_crashes:
         with table.lock:
             _forget(table, now)
 
 
 def _forget(table: Quarantine, now: float) -> None:
-    table.doubtful = {
+    table.unconfirmed_crashes = {
         server: at
-        for server, at in table.doubtful.items()
+        for server, at in table.unconfirmed_crashes.items()
         if at > now - _DOUBT_MS
     }
     # Reports of a crash may still be under way for a while; only then is it
     # known which requests shared both crashes.
     settled = now - crashes.DUPLICATE_WINDOW_MS
-    table.explained = [
+    table.attributed_crashes = [
         crash for suspect in table.suspects.values()
         if suspect.blocked_until > now for crash in suspect.crashes
         if crash.at < settled
@@ -416,13 +425,13 @@
             _drop_explained(table, suspect)
         if crashes.is_expired(suspect, now):
             del table.suspects[fingerprint]
-    for server, end in list(table.ends.items()):
+    for server, end in list(table.server_crashes.items()):
         if end.at + crashes.BLOCK_MS < now:
-            del table.ends[server]
+            del table.server_crashes[server]
 
 
 def _drop_explained(table: Quarantine, suspect: crashes.Suspect) -> None:
-    if not table.explained or not suspect.crashes:
+    if not table.attributed_crashes or not suspect.crashes:
         return
     suspect.crashes = [
         crash for crash in suspect.crashes if not _is_explained(table, crash)
@@ -432,7 +441,7 @@
 def _is_explained(table: Quarantine, crash: crashes.Crash) -> bool:
     return any(
         crashes.is_duplicate(crash, known, table.policy)
-        for known in table.explained)
+        for known in table.attributed_crashes)
 
 
 def _add_crash(table: Quarantine, fingerprint: bytes, service: str,
@@ -449,19 +458,19 @@
         return
     if not suspect.crashes and _is_explained(table, crash):
         return
-    table.doubtful[crash.server] = crash.at
+    table.unconfirmed_crashes[crash.server] = crash.at
     known = sorted([*suspect.crashes, crash], key=lambda item: item.at)
     crashes.set_crashes(suspect, known[-crashes.MAX_CRASHES:])
     _touch(table, suspect)
 
 
 def _add_end(table: Quarantine, service: str, server: str, at: float) -> None:
-    if server in table.ends:
+    if server in table.server_crashes:
         return
-    if len(table.ends) >= _MOST_ENDS:
-        del table.ends[next(iter(table.ends))]
+    if len(table.server_crashes) >= _MOST_ENDS:
+        del table.server_crashes[next(iter(table.server_crashes))]
     table.version += 1
-    table.ends[server] = End(service, at, table.version)
+    table.server_crashes[server] = ServerCrash(service, at, table.version)
 
 
 def _find_suspect(table: Quarantine, fingerprint: bytes,
@@ -494,5 +503,5 @@
     for fingerprint, suspect in table.suspects.items():
         if not suspect.blocked_until:
             del table.suspects[fingerprint]
-            table.dropped += 1
+            table.evicted_count += 1
             return
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -351,7 +351,7 @@
                 {_EVIDENCE.fingerprint})
 
     def test_evidence_is_told_again_until_it_has_arrived(self):
-        quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
+        quarantine.report_server_crash(self.forwarder.suspects, 'x', 's9', 0.0)
         replies, self.replies = self.replies, {}
         reporting.exchange(self.reporter)
         self.replies = replies
@@ -366,10 +366,10 @@
         self.assertEqual(told[-1], [])
 
     def test_another_process_at_the_address_of_the_hub_is_told_everything(self):
-        quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
+        quarantine.report_server_crash(self.forwarder.suspects, 'x', 's9', 0.0)
         reporting.exchange(self.reporter)
         self.replies['a:2'] = reports.Reply({}, {}, {}, hub='other')
-        quarantine.report_end(self.forwarder.suspects, 'x', 's8', 0.0)
+        quarantine.report_server_crash(self.forwarder.suspects, 'x', 's8', 0.0)
         reporting.exchange(self.reporter)
         peers = self.forwarder.snapshot.coordinators | {
             'y': ports.Peer('other', 'a:2')
@@ -384,7 +384,7 @@
         self.assertLessEqual({'s8', 's9'}, told)
 
     def test_evidence_goes_to_others_where_no_hub_answers(self):
-        quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
+        quarantine.report_server_crash(self.forwarder.suspects, 'x', 's9', 0.0)
         self.replies = {'a:3': reports.Reply({}, {}, {}, hub='e3')}
         self.forwarder.snapshot = tables.Snapshot(
             None, {}, {}, self.forwarder.snapshot.coordinators,
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -133,7 +133,7 @@
         server, pool = self._start_server(True)
         self._lose(_BAD, server, pool)
         self.assertEqual(self._count(), 0)
-        self.assertEqual(self.forwarder.suspects.ends, {})
+        self.assertEqual(self.forwarder.suspects.server_crashes, {})
 
     def test_a_restart_that_nobody_noticed_is_a_crash(self):
         server, pool = self._start_server(True)
@@ -198,7 +198,7 @@
         self._lose(_BAD, server, pool)
         suspects.note_refused(self.forwarder, server)
         self.assertEqual(self._count(), 0)
-        self.assertEqual(self.forwarder.suspects.ends, {})
+        self.assertEqual(self.forwarder.suspects.server_crashes, {})
 
     def test_another_entrys_proof_counts_for_what_was_lost_here(self):
         server, pool = self._start_server(True)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -82,24 +82,24 @@
         table = quarantine.Quarantine()
         for at in (1_000.0, 3_000.0):
             _crash(table, _INNOCENT, 'a', at)
-            cleared = quarantine.report_survived(table, 'a', 500.0, at + 1)
+            cleared = quarantine.report_alive(table, 'a', 500.0, at + 1)
             self.assertEqual(len(cleared), 1)
         self.assertIs(quarantine.check(table, _INNOCENT, 3_001.0), _CLEAR)
 
     def test_new_connection_proves_nothing(self):
         table = quarantine.Quarantine()
         _crash(table, _KILLER, 'a', 1_000.0)
-        quarantine.report_survived(table, 'a', 1_100.0, 1_200.0)
+        quarantine.report_alive(table, 'a', 1_100.0, 1_200.0)
         self.assertIs(quarantine.check(table, _KILLER, 1_200.0), _SUSPECT)
 
     def test_suspects_run_one_at_a_time(self):
         table = quarantine.Quarantine()
-        self.assertTrue(quarantine.start_alone(table, 'a', _KILLER))
-        self.assertFalse(quarantine.start_alone(table, 'a', _KILLER))
-        self.assertFalse(quarantine.start_alone(table, 'a', _INNOCENT))
-        self.assertTrue(quarantine.start_alone(table, 'b', _INNOCENT))
-        quarantine.end_alone(table, 'a')
-        self.assertTrue(quarantine.start_alone(table, 'a', _INNOCENT))
+        self.assertTrue(quarantine.acquire_suspect_slot(table, 'a', _KILLER))
+        self.assertFalse(quarantine.acquire_suspect_slot(table, 'a', _KILLER))
+        self.assertFalse(quarantine.acquire_suspect_slot(table, 'a', _INNOCENT))
+        self.assertTrue(quarantine.acquire_suspect_slot(table, 'b', _INNOCENT))
+        quarantine.release_suspect_slot(table, 'a')
+        self.assertTrue(quarantine.acquire_suspect_slot(table, 'a', _INNOCENT))
 
 
 class GossipTest(unittest.TestCase):
