--- a/lentilmoor/bodies.py
+++ b/lentilmoor/bodies.py
@@ -79,5 +79,5 @@
         self._seen += len(chunk)
         if self._seen > self._limit:
             raise BodyError(f'expected at most {self._limit} bytes')
-        fingerprints.feed(self.digest, chunk)
+        fingerprints.update_digest(self.digest, chunk)
         return chunk
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -253,7 +253,7 @@
             elections.stand(self._context, name, role, now)
             roles.coordinate(self._context, name, role, now)
         elections.make_way(self._context, now)
-        savedsuspects.keep(self._context, now)
+        savedsuspects.update_store(self._context, now)
 
     def _call(self,
               work: Callable[[], object],
@@ -289,7 +289,7 @@
         if restored:
             self._take_restore(before)
         self._take_servers(everything, now)
-        savedsuspects.take(self._context, before, everything)
+        savedsuspects.merge_stored(self._context, before, everything)
         self._log_servers(before, everything, heard)
         configuration = everything.configuration
         if configuration is not None and (before is None or before.configuration
@@ -314,7 +314,7 @@
         ended_before = set(owned.ended)
         lifetimes.end_predecessors(owned, everything)
         for name in (owned.ended - ended_before) & owned.servers.keys():
-            suspects.note_replaced(self._forwarder, owned.servers[name])
+            suspects.note_process_replaced(self._forwarder, owned.servers[name])
         for name in lifetimes.take_back_ends(owned, everything):
             self._logger.info('server_up_after_all', server=name)
         known_at = self._find_known_at(now)
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -73,7 +73,7 @@
         return route
     verdict = suspects.check(forwarder, request)
     if verdict is quarantine.Verdict.BLOCKED:
-        return suspects.refuse()
+        return suspects.make_refusal()
     name = matching.pick_part(route, forwarder.generator.random())
     snapshot = forwarder.snapshot
     service = snapshot.configuration.services.get(name)
@@ -192,7 +192,7 @@
     if run.on_trial or suspects.check(forwarder,
                                       run.request) is quarantine.Verdict.CLEAR:
         return None
-    return suspects.refuse()
+    return suspects.make_refusal()
 
 
 def _check_departure(forwarder: requests.Forwarder, run: requests.Run,
@@ -214,7 +214,7 @@
 
 def _may_repeat(forwarder: requests.Forwarder, run: requests.Run,
                 choice: placement.Choice) -> bool:
-    if not suspects.may_repeat(forwarder, run):
+    if not suspects.may_retry(forwarder, run):
         return False
     # The new owner of a moving key may have turned the request away before it
     # was granted the key; asking it again takes it to no other server.
@@ -263,7 +263,7 @@
     if isinstance(result, exchange.Gone):
         with forwarder.lock:
             placement.note_left(state)
-        suspects.note_loss(forwarder, run, server, pool, False)
+        suspects.note_lost_request(forwarder, run, server, pool, False)
         return exchange.Gone(server.id, now - sent_at)
     if isinstance(result, exchange.Withheld):
         with forwarder.lock:
@@ -275,13 +275,13 @@
         with forwarder.lock:
             placement.note_unreached(state, now)
         if result.reason is _Reason.CONNECT_FAILED:
-            suspects.note_refused(forwarder, server)
+            suspects.note_connection_refused(forwarder, server)
         run.avoid.add(server.id)
         return None
     run.sent.add(server.id)
     if isinstance(result, outcomes.Unknown):
-        suspects.note_loss(forwarder, run, server, pool, result.reason
-                           is _Reason.TIMED_OUT)
+        suspects.note_lost_request(forwarder, run, server, pool, result.reason
+                                   is _Reason.TIMED_OUT)
         return weighing.weigh_loss(forwarder, run, choice, state, result,
                                    now - sent_at)
     return weighing.weigh_answer(forwarder, run, server, state, result,
--- a/lentilmoor/edge/ratelimits.py
+++ b/lentilmoor/edge/ratelimits.py
@@ -12,7 +12,7 @@
 # Minimum interval between log lines about requests to limited servers.
 LOG_INTERVAL_MS = 1_000.0
 # Maximum number of servers listed in one log line.
-MOST_NAMED = 20
+MAX_LOGGED_SERVERS = 20
 # Capacity of a token bucket, as time at the full rate; at least one token.
 BURST_MS = 500.0
 # Minimum rate of a token bucket, per second. With a rate of zero, no request
@@ -222,7 +222,7 @@
     logger.info('requests_to_limited_servers',
                 span_ms=round(span_ms),
                 servers=len(counts),
-                counts=counts[:MOST_NAMED])
+                counts=counts[:MAX_LOGGED_SERVERS])
 
 
 def _collect_counts(table: RateLimits) -> list[tuple[str, float, int, int]]:
--- a/lentilmoor/edge/savedsuspects.py
+++ b/lentilmoor/edge/savedsuspects.py
@@ -8,11 +8,11 @@
 from lentilmoor.edge import suspects
 
 # Until a write is known by the store's news; a failed one is repeated then.
-SAVE_AGAIN_MS = 1_000.0
+WRITE_RETRY_MS = 1_000.0
 
 
-def take(context: beliefs.Context, before: ports.Everything | None,
-         everything: ports.Everything) -> None:
+def merge_stored(context: beliefs.Context, before: ports.Everything | None,
+                 everything: ports.Everything) -> None:
     """Takes in blocked requests that are new in the store."""
     known = before.suspects if before else {}
     now = context.clock.now()
@@ -27,7 +27,7 @@
         suspects.merge(context.forwarder, evidence, now)
 
 
-def keep(context: beliefs.Context, now: float) -> None:
+def update_store(context: beliefs.Context, now: float) -> None:
     """Has the store hold what is blocked, if this entry is the first hub."""
     owned, forwarder = context.owned, context.forwarder
     saved = owned.everything.suspects
@@ -43,7 +43,7 @@
             return
     for name, known in saved.items():
         if known.fingerprint not in blocked:
-            owned.suspects_at = now + SAVE_AGAIN_MS
+            owned.suspects_at = now + WRITE_RETRY_MS
             context.logger.info('suspect_forgotten', fingerprint=name)
             context.call(
                 lambda known=known: context.platform.store.forget_suspect(known
@@ -58,7 +58,7 @@
 
 def _save(context: beliefs.Context, now: float, fingerprint: bytes,
           suspect: crashes.Suspect, known: ports.SavedSuspect | None) -> None:
-    context.owned.suspects_at = now + SAVE_AGAIN_MS
+    context.owned.suspects_at = now + WRITE_RETRY_MS
     revision = 0 if known is None else known.revision
     found = ports.SavedSuspect(fingerprint, suspect.service,
                                tuple(suspect.crashes), revision)
--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -39,9 +39,9 @@
 _LAST_ANSWERS_MS = 250.0
 # A blocked request may crash one more server after this time, where crashes
 # that it had no part in speak for another cause.
-TRIAL_MS = 5_000.0
+TRIAL_DELAY_MS = 5_000.0
 # Time for a caller of a blocked request to come back.
-RETRY_MS = 30_000
+RETRY_AFTER_MS = 30_000
 # When a crash was that another entry told of is known as well as this.
 _TOLD_MS = 1_000.0
 # Requests that one line names.
@@ -51,20 +51,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Loss:
+class LostRequest:
     """A request that a server has not answered.
 
     Attributes:
       fingerprint: Of the request.
       service: The server's service.
       sent_at: When it was sent, ms.
-      at: When it was given up, ms.
+      lost_at: When the connection was lost or the request timed out, ms.
     """
 
     fingerprint: bytes
     service: str
     sent_at: float
-    at: float
+    lost_at: float
 
 
 def make_quarantine() -> quarantine.Quarantine:
@@ -75,7 +75,7 @@
 def make_fingerprint(request: requests.Request) -> bytes:
     """Returns what tells a request from others, whoever sends it again."""
     digest = fingerprints.BodyDigest()
-    fingerprints.feed(digest, request.body)
+    fingerprints.update_digest(digest, request.body)
     content = {
         name.lower(): value
         for name, value in request.headers.items()
@@ -113,7 +113,7 @@
     """Returns whether a first block may have another cause."""
     last_at = max((crash.at for crash in suspect.crashes), default=now)
     is_first = suspect.blocked_until <= last_at + crashes.BLOCK_MS
-    return (is_first and now >= last_at + TRIAL_MS and
+    return (is_first and now >= last_at + TRIAL_DELAY_MS and
             quarantine.has_concurrent_crashes(table, fingerprint))
 
 
@@ -141,13 +141,13 @@
     return True
 
 
-def refuse() -> outcomes.NotRun:
+def make_refusal() -> outcomes.NotRun:
     """Returns the refusal of a blocked request."""
     return outcomes.NotRun(_Reason.QUARANTINED,
-                           'this request crashes its servers', RETRY_MS)
+                           'this request crashes its servers', RETRY_AFTER_MS)
 
 
-def may_repeat(forwarder: requests.Forwarder, run: requests.Run) -> bool:
+def may_retry(forwarder: requests.Forwarder, run: requests.Run) -> bool:
     """Returns whether a request that was lost may go to another server."""
     if run.on_trial:
         return False
@@ -155,9 +155,9 @@
     return suspect is None or len(suspect.crashes) < _LAST_REPEAT
 
 
-def note_loss(forwarder: requests.Forwarder, run: requests.Run,
-              server: tables.Server, pool: connections.Pool,
-              timed_out: bool) -> None:
+def note_lost_request(forwarder: requests.Forwarder, run: requests.Run,
+                      server: tables.Server, pool: connections.Pool,
+                      timed_out: bool) -> None:
     """Takes in a request that a server did not answer.
 
     Asks the server for a connection, unless it has answered others meanwhile.
@@ -174,7 +174,8 @@
     now = forwarder.clock.now()
     if _is_leaving(forwarder, server, run.sent_at):
         return
-    loss = Loss(make_fingerprint(run.request), server.service, run.sent_at, now)
+    loss = LostRequest(make_fingerprint(run.request), server.service,
+                       run.sent_at, now)
     with forwarder.lock:
         state = forwarder.states.setdefault(server.id, placement.ServerState())
         losses = forwarder.losses.setdefault(server.id, [])
@@ -200,7 +201,7 @@
                   pool: connections.Pool) -> None:
     """Takes in that a server has crashed if it refuses connections."""
     if exchange.check(pool, _CHECK_MS) is _Reason.CONNECT_FAILED:
-        note_refused(forwarder, server)
+        note_connection_refused(forwarder, server)
 
 
 def _find_known(forwarder: requests.Forwarder,
@@ -219,7 +220,7 @@
             state is not None and state.draining_at is not None)
 
 
-def _is_silent(state: placement.ServerState, loss: Loss) -> bool:
+def _is_silent(state: placement.ServerState, loss: LostRequest) -> bool:
     """Returns whether a server has answered nothing since a request."""
     return state.answered_at <= loss.sent_at + _LAST_ANSWERS_MS
 
@@ -242,7 +243,7 @@
         with forwarder.lock:
             kept = [
                 loss for loss in forwarder.losses.pop(server.id, [])
-                if not opened_at < loss.at < run.sent_at
+                if not opened_at < loss.lost_at < run.sent_at
             ]
             if kept:
                 forwarder.losses[server.id] = kept
@@ -255,13 +256,15 @@
                                     server.id, now)
 
 
-def note_refused(forwarder: requests.Forwarder, server: tables.Server) -> None:
+def note_connection_refused(forwarder: requests.Forwarder,
+                            server: tables.Server) -> None:
     """Takes in that a server refuses connections."""
     if not _is_leaving(forwarder, server, forwarder.clock.now()):
         _note_crash(forwarder, server, 'refused')
 
 
-def note_replaced(forwarder: requests.Forwarder, server: tables.Server) -> None:
+def note_process_replaced(forwarder: requests.Forwarder,
+                          server: tables.Server) -> None:
     """Takes in that another process has taken a server's place."""
     if not _is_leaving(forwarder, server, forwarder.clock.now()):
         _note_crash(forwarder, server, 'replaced')
@@ -285,7 +288,7 @@
     with forwarder.lock:
         state = forwarder.states.get(server.id, placement.ServerState())
         silent = any(
-            _is_silent(state, loss) and loss.at > forwarder.clock.now() -
+            _is_silent(state, loss) and loss.lost_at > forwarder.clock.now() -
             _LOSS_MS for loss in forwarder.losses.get(server.id, []))
     if silent and not _is_leaving(forwarder, server, 0.0):
         _note_crash(forwarder, server, 'unlisted')
@@ -296,10 +299,10 @@
     table, now = forwarder.suspects, forwarder.clock.now()
     with forwarder.lock:
         losses = forwarder.losses.pop(server, [])
-    recent = [loss for loss in losses if loss.at > now - _LOSS_MS]
+    recent = [loss for loss in losses if loss.lost_at > now - _LOSS_MS]
     for loss in recent:
         quarantine.report_crash(table, loss.fingerprint, loss.service, server,
-                                loss.at)
+                                loss.lost_at)
     if recent:
         forwarder.logger.info(
             'requests_suspected',
@@ -333,7 +336,7 @@
     quarantine.step(table, now)
     with forwarder.lock:
         for server, losses in list(forwarder.losses.items()):
-            if losses[-1].at <= now - _LOSS_MS:
+            if losses[-1].lost_at <= now - _LOSS_MS:
                 del forwarder.losses[server]
         for fingerprint, tried_at in list(forwarder.tried.items()):
             if now >= tried_at + crashes.BLOCK_MS:
--- a/lentilmoor/fingerprints.py
+++ b/lentilmoor/fingerprints.py
@@ -14,7 +14,7 @@
 
 # Read this much of a body, or all of it, before the request is dispatched.
 PREFIX_BYTES = 65_536
-LENGTH_UNKNOWN = -1
+UNKNOWN_LENGTH = -1
 # Headers that change what a server runs, and that a resend repeats.
 CONTENT_HEADERS = ('content-type', 'content-encoding', 'range')
 
@@ -24,20 +24,20 @@
     """Digest of a body's prefix, fed as it arrives.
 
     Attributes:
-      state: Running hash.
-      seen: Bytes fed so far, also those past the prefix.
+      hasher: Running hash of the prefix.
+      byte_count: Bytes added so far, including those past the prefix.
     """
 
-    state: xxhash.xxh3_128 = dataclasses.field(default_factory=xxhash.xxh3_128)
-    seen: int = 0
+    hasher: xxhash.xxh3_128 = dataclasses.field(default_factory=xxhash.xxh3_128)
+    byte_count: int = 0
 
 
-def feed(digest: BodyDigest, chunk: bytes) -> None:
+def update_digest(digest: BodyDigest, chunk: bytes) -> None:
     """Adds the next bytes of a body."""
-    room = PREFIX_BYTES - digest.seen
+    room = PREFIX_BYTES - digest.byte_count
     if room > 0:
-        digest.state.update(chunk[:room])
-    digest.seen += len(chunk)
+        digest.hasher.update(chunk[:room])
+    digest.byte_count += len(chunk)
 
 
 def make_fingerprint(service: str,
@@ -46,7 +46,7 @@
                      key: str,
                      headers: Mapping[str, str],
                      body: BodyDigest | None = None,
-                     length: int = LENGTH_UNKNOWN) -> bytes:
+                     length: int = UNKNOWN_LENGTH) -> bytes:
     """Returns the 16-byte fingerprint of a request.
 
     The caller's name is no part of it: the same request of another caller
@@ -66,9 +66,9 @@
     parts += [headers.get(name, '') for name in CONTENT_HEADERS]
     text = '\0'.join(parts)
     state = xxhash.xxh3_128(text.encode(errors='surrogateescape'))
-    if body is not None and body.seen:
-        if length == LENGTH_UNKNOWN and body.seen < PREFIX_BYTES:
-            length = body.seen
+    if body is not None and body.byte_count:
+        if length == UNKNOWN_LENGTH and body.byte_count < PREFIX_BYTES:
+            length = body.byte_count
         state.update(f'\0{length}\0'.encode())
-        state.update(body.state.digest())
+        state.update(body.hasher.digest())
     return state.digest()
--- a/lentilmoor/runs.py
+++ b/lentilmoor/runs.py
@@ -102,7 +102,7 @@
     return fingerprints.make_fingerprint(
         f'{call.team}/{call.service}', raw.method, call.target, call.key,
         content, body.digest,
-        fingerprints.LENGTH_UNKNOWN if length is None else length)
+        fingerprints.UNKNOWN_LENGTH if length is None else length)
 
 
 def conclude(run: Run, refusal: outcomes.NotRun) -> tries.Result:
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -85,7 +85,7 @@
         run = requests.Run(request, _ROUTE, _SERVICE, 0.0)
         run.sent_at = self.time.at
         self.time.advance(5.0)
-        suspects.note_loss(self.forwarder, run, server, pool, False)
+        suspects.note_lost_request(self.forwarder, run, server, pool, False)
 
     def _answer(self,
                 request: requests.Request,
@@ -138,7 +138,7 @@
     def test_a_restart_that_nobody_noticed_is_a_crash(self):
         server, pool = self._start_server(True)
         self._lose(_BAD, server, pool)
-        suspects.note_replaced(self.forwarder, server)
+        suspects.note_process_replaced(self.forwarder, server)
         self.assertEqual(self._count(), 1)
 
     def test_a_silent_server_whose_registration_runs_out_has_crashed(self):
@@ -155,7 +155,7 @@
         self.time.advance(5_000.0)
         self._publish(
             dataclasses.replace(server, unlisted_at=self.time.at - 2_000.0))
-        suspects.note_loss(self.forwarder, run, server, pool, False)
+        suspects.note_lost_request(self.forwarder, run, server, pool, False)
         self.assertEqual(self._count(), 1)
 
     def test_an_answer_over_an_older_connection_clears_the_loss(self):
@@ -164,14 +164,14 @@
         self.time.advance(300.0)
         self._answer(_SOUND, server, 99_000.0)
         suspects.note_unlisted(self.forwarder, server)
-        suspects.note_replaced(self.forwarder, server)
+        suspects.note_process_replaced(self.forwarder, server)
         self.assertEqual(self._count(), 0)
 
     def test_an_answer_that_was_under_way_at_the_crash_proves_nothing(self):
         server, pool = self._start_server(True)
         self._lose(_BAD, server, pool)
         self._answer(_SOUND, server, 99_000.0, self.time.at - 10.0)
-        suspects.note_replaced(self.forwarder, server)
+        suspects.note_process_replaced(self.forwarder, server)
         self.assertEqual(self._count(), 1)
         self._answer(_SOUND, server, 99_000.0, self.time.at - 10.0)
         self.assertEqual(self._count(), 1)
@@ -189,14 +189,14 @@
         self._lose(_BAD, server, pool)
         self.time.advance(300.0)
         self._answer(_SOUND, server, self.time.at - 10.0)
-        suspects.note_replaced(self.forwarder, server)
+        suspects.note_process_replaced(self.forwarder, server)
         self.assertEqual(self._count(), 1)
 
     def test_the_end_of_a_draining_server_is_no_crash(self):
         server, pool = self._start_server(False)
         self._publish(dataclasses.replace(server, draining=True))
         self._lose(_BAD, server, pool)
-        suspects.note_refused(self.forwarder, server)
+        suspects.note_connection_refused(self.forwarder, server)
         self.assertEqual(self._count(), 0)
         self.assertEqual(self.forwarder.suspects.server_crashes, {})
 
@@ -246,9 +246,9 @@
     def test_one_that_crashed_two_servers_is_not_repeated(self):
         run = requests.Run(_BAD, _ROUTE, _SERVICE, 0.0)
         self._crash(_BAD)
-        self.assertTrue(suspects.may_repeat(self.forwarder, run))
+        self.assertTrue(suspects.may_retry(self.forwarder, run))
         self._crash(_BAD)
-        self.assertFalse(suspects.may_repeat(self.forwarder, run))
+        self.assertFalse(suspects.may_retry(self.forwarder, run))
 
     def test_it_is_not_tried_where_it_explains_all_crashes(self):
         self._block()
@@ -261,7 +261,7 @@
             self._crash(_SOUND)
             self._crash(_BAD)
             self.time.advance(1_000.0)
-        self.time.advance(suspects.TRIAL_MS)
+        self.time.advance(suspects.TRIAL_DELAY_MS)
 
     def test_one_entry_tries_it_once_where_others_crashed_beside_it(self):
         self._block_by_mistake()
@@ -277,7 +277,7 @@
     def test_a_crash_of_the_trial_ends_all_trials(self):
         self._block_by_mistake()
         self._crash(_SOUND)
-        self.time.advance(suspects.TRIAL_MS)
+        self.time.advance(suspects.TRIAL_DELAY_MS)
         self.forwarder.tries_suspects = True
         self.assertIs(self._check(_SOUND), _BLOCKED)
 
@@ -326,15 +326,16 @@
 
     def _keep(self) -> ports.Everything:
         """Has the entry write what is due, and read it."""
-        self.time.advance(savedsuspects.SAVE_AGAIN_MS)
+        self.time.advance(savedsuspects.WRITE_RETRY_MS)
         self.context.owned.everything = self.platform.load()
-        savedsuspects.keep(self.context, self.time.at)
+        savedsuspects.update_store(self.context, self.time.at)
         return self.platform.load()
 
     def test_an_entry_that_starts_alone_knows_what_is_blocked(self):
         found = self._keep()
         self.forwarder = self._make_forwarder()
-        savedsuspects.take(self._make_context(self.forwarder), None, found)
+        savedsuspects.merge_stored(self._make_context(self.forwarder), None,
+                                   found)
         self.assertIs(self._check(), _BLOCKED)
 
     def test_what_a_restored_store_has_lost_is_written_again(self):
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -157,7 +157,7 @@
     def _make(self, target='/stock', key='lot-1', body=b'', length=-1, **more):
         digest = fingerprints.BodyDigest()
         for start in range(0, len(body), 1_000):
-            fingerprints.feed(digest, body[start:start + 1_000])
+            fingerprints.update_digest(digest, body[start:start + 1_000])
         return fingerprints.make_fingerprint(_SERVICE, 'POST', target, key,
                                              more, digest, length)
 
