--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -297,7 +297,8 @@
             self._logger.info('configuration_applied',
                               version=configuration.version,
                               revision=revisions.show(everything.revision))
-            self._forwarder.index = matching.make_index(configuration.routes)
+            self._forwarder.route_index = matching.make_index(
+                configuration.routes)
             for name in configuration.list_keyed():
                 owned.roles.setdefault(name, beliefs.Role())
         elections.follow_rivals(self._context)
@@ -339,7 +340,7 @@
         """
         forwarder = self._forwarder
         freshness = forwarder.freshness
-        if now - freshness.away_at <= forwarder.limits.seek_ms:
+        if now - freshness.away_at <= forwarder.age_limits.seek_ms:
             return now
         return staleness.find_applied(freshness).servers_at
 
@@ -448,7 +449,7 @@
         with forwarder.lock:
             pools = [forwarder.pools.pop(name, None) for name in gone]
             for name in gone:
-                forwarder.states.pop(name, None)
+                forwarder.server_states.pop(name, None)
         ratelimits.remove_servers(forwarder.rate_limits, gone)
         permits.remove_servers(forwarder.permit_table, gone)
         for pool in filter(None, pools):
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -158,7 +158,7 @@
         rules,
         suspects=suspects.make_quarantine(),
         started_at=-math.inf if first else started_at)
-    forwarder.limits = platform.settings.limits
+    forwarder.age_limits = platform.settings.limits
     forwarder.permit_table = permits.make_permit_table(
         platform.settings.control, clock, logger, socket_options)
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
@@ -252,7 +252,10 @@
             float(snapshot.configuration.version if snapshot.
                   configuration else 0),
         'unserved_ranges':
-            float(sum(len(rows) for rows in entry.forwarder.unserved.values())),
+            float(
+                sum(
+                    len(rows)
+                    for rows in entry.forwarder.unserved_ranges.values())),
         'store_watches':
             float(entry.follower.begun),
         'store_era':
@@ -267,7 +270,7 @@
         'suspected_requests':
             float(len(entry.forwarder.suspects.suspects)),
         'quarantined_requests':
-            float(len(entry.forwarder.blocked)),
+            float(len(entry.forwarder.logged_blocked)),
         'crashed_servers':
             float(len(entry.forwarder.suspects.ends)),
         'limited_servers':
@@ -426,7 +429,7 @@
 def _log_interrupted(entry: Entry) -> None:
     """Writes a line for each request that the end of this process cuts."""
     now = entry.clock.now()
-    for cut in list(entry.forwarder.running):
+    for cut in list(entry.forwarder.in_flight):
         worked_ms = round(now - cut.sent_at) if cut.server else 0
         entry.logger.warning('request_interrupted',
                              request=cut.request.fields.request_id,
--- a/lentilmoor/edge/following.py
+++ b/lentilmoor/edge/following.py
@@ -58,7 +58,7 @@
     """
     hangs = _hangs(follower)
     silence_ms = _find_silence(follower, counts_relays=not hangs)
-    limits = follower.reporter.forwarder.limits
+    limits = follower.reporter.forwarder.age_limits
     if not follower.begun or silence_ms >= limits.seek_ms:
         _begin(follower)
     elif hangs:
@@ -85,7 +85,7 @@
     now = follower.clock.now()
     silence_ms = min(_find_silence(follower, counts_relays=True),
                      now - follower.began_at)
-    if silence_ms < follower.reporter.forwarder.limits.silent_ms:
+    if silence_ms < follower.reporter.forwarder.age_limits.silent_ms:
         return
     what, since = follower.doing
     follower.logger.warning('following_silent',
@@ -106,7 +106,8 @@
         store is away relays know no more.
     """
     forwarder = follower.reporter.forwarder
-    told_at = max(forwarder.news.seen_at, forwarder.heard.seen_at)
+    told_at = max(forwarder.own_progress.seen_at,
+                  forwarder.hub_progress.seen_at)
     if _is_leaf(follower) and counts_relays:
         told_at = max(told_at, follower.told_at)
     return follower.clock.now() - told_at
@@ -214,7 +215,7 @@
         follower.hurried.clear()
     forwarder = follower.reporter.forwarder
     if what != 'configuration':
-        forwarder.news = tables.News(found.revision, asked_at)
+        forwarder.own_progress = tables.News(found.revision, asked_at)
     knowledge.take(follower, found, False)
     behind = knowledge.is_behind(follower)
     if what == 'load' or what == 'watch' and newest:
@@ -284,9 +285,10 @@
 def find_pause(follower: knowledge.Follower) -> float:
     """Returns the pause until the store is to be looked at again, ms."""
     forwarder, place = follower.reporter.forwarder, follower.place
-    limits = forwarder.limits
+    limits = forwarder.age_limits
     heard_ms = follower.clock.now() - min(
-        forwarder.heard.seen_at, forwarder.freshness.known.configuration_at)
+        forwarder.hub_progress.seen_at,
+        forwarder.freshness.known.configuration_at)
     leads = any(peer.address == follower.own.address
                 for peer in reporting.find_hubs(follower.reporter))
     if leads or place is None and not _is_settled(forwarder.snapshot):
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -92,11 +92,11 @@
         budgets.note_request(_budget_of(forwarder, name),
                              forwarder.platform.settings.bounds,
                              request.arrived_at)
-    forwarder.running.add(run)
+    forwarder.in_flight.add(run)
     try:
         return _carry(forwarder, run)
     finally:
-        forwarder.running.discard(run)
+        forwarder.in_flight.discard(run)
 
 
 def _await_configuration(forwarder: requests.Forwarder,
@@ -122,13 +122,15 @@
     """Returns a request's route by a recent configuration, or a refusal."""
     if not _await(forwarder, request, requests.is_configuration_recent):
         return _refuse_outdated(forwarder, request)
-    route = matching.find_route(forwarder.index, request.host, request.path)
+    route = matching.find_route(forwarder.route_index, request.host,
+                                request.path)
     if route is not None:
         return route
     if not _await(forwarder, request, requests.may_deny):
         return _refuse_outdated(forwarder, request)
     # It may have come while this waited.
-    route = matching.find_route(forwarder.index, request.host, request.path)
+    route = matching.find_route(forwarder.route_index, request.host,
+                                request.path)
     return route or outcomes.NotRun(_Reason.UNKNOWN_SERVICE, 'no such route')
 
 
@@ -241,7 +243,7 @@
                 _check_departure(forwarder, run, choice) is not None or
                 _check_blocked(forwarder, run) is not None):
             return None
-        if requests.find_news_age(forwarder) > forwarder.limits.send_ms:
+        if requests.find_news_age(forwarder) > forwarder.age_limits.send_ms:
             _log_outdated(forwarder, request, 'sent_by_old_copy')
         _log_if_unavailable(forwarder, run, server, state)
         ratelimits.note_sent(forwarder.rate_limits, server.id, bool(run.sent),
@@ -292,9 +294,9 @@
                   event: str) -> None:
     """Logs what became of a request by an old copy, rate-limited."""
     now = forwarder.clock.now()
-    if now - forwarder.outdated_logged_at < OUTDATED_LOG_INTERVAL_MS:
+    if now - forwarder.stale_logged_at < OUTDATED_LOG_INTERVAL_MS:
         return
-    forwarder.outdated_logged_at = now
+    forwarder.stale_logged_at = now
     applied = staleness.find_applied(forwarder.freshness)
     forwarder.logger.info(event,
                           request=request.fields.request_id,
@@ -332,7 +334,8 @@
         server: tables.Server
 ) -> tuple[placement.ServerState, connections.Pool]:
     with forwarder.lock:
-        state = forwarder.states.setdefault(server.id, placement.ServerState())
+        state = forwarder.server_states.setdefault(server.id,
+                                                   placement.ServerState())
         placement.note_sent(state)
         pool = forwarder.pools.get(server.id)
         if pool is None:
@@ -358,5 +361,5 @@
 
 
 def _budget_of(forwarder: requests.Forwarder, service: str) -> budgets.Budget:
-    return forwarder.repeats.setdefault(
+    return forwarder.retry_budgets.setdefault(
         service, budgets.Budget(began_at=forwarder.started_at))
--- a/lentilmoor/edge/knowledge.py
+++ b/lentilmoor/edge/knowledge.py
@@ -138,9 +138,10 @@
 def _note_seen(follower: Follower, found: ports.Everything) -> None:
     follower.seen = found
     forwarder = follower.reporter.forwarder
-    forwarder.followed = found.revision
-    forwarder.version = find_version(found)
-    forwarder.newest_version = max(forwarder.version, follower.wanted)
+    forwarder.followed_revision = found.revision
+    forwarder.configuration_version = find_version(found)
+    forwarder.newest_configuration_version = max(
+        forwarder.configuration_version, follower.wanted)
 
 
 def take_news(follower: Follower, heard: tables.News) -> bool:
@@ -160,7 +161,7 @@
             # the newest of that revision.
             follower.wanted = heard.version
             follower.wanted_at = follower.clock.now()
-            follower.reporter.forwarder.newest_version = heard.version
+            follower.reporter.forwarder.newest_configuration_version = heard.version
         behind = is_behind(follower)
         if (heard.revision > seen.revision or
                 heard.version > find_version(seen) and heard.changes):
@@ -169,7 +170,9 @@
                 follower.hurried.set()
                 return False
     forwarder = follower.reporter.forwarder
-    forwarder.heard = max(forwarder.heard, heard, key=lambda item: item.seen_at)
+    forwarder.hub_progress = max(forwarder.hub_progress,
+                                 heard,
+                                 key=lambda item: item.seen_at)
     _note_times(follower, seen, heard)
     # One that is too large to tell is read: by a watch each of the versions
     # since would come.
--- a/lentilmoor/edge/leases.py
+++ b/lentilmoor/edge/leases.py
@@ -146,8 +146,8 @@
     An entry that relays tell doesn't look at the store itself.
     """
     owned, now = context.owned, context.clock.now()
-    heard_ms = now - context.forwarder.heard.seen_at
-    if not owned.lost_at or heard_ms >= context.forwarder.limits.seek_ms:
+    heard_ms = now - context.forwarder.hub_progress.seen_at
+    if not owned.lost_at or heard_ms >= context.forwarder.age_limits.seek_ms:
         return
     context.logger.info('store_regained',
                         away_ms=round(now - owned.lost_at),
--- a/lentilmoor/edge/picks.py
+++ b/lentilmoor/edge/picks.py
@@ -47,10 +47,10 @@
     }
     servers = [server for server in candidates if not waits_ms[server.id]]
     with forwarder.lock:
-        wish = placement.Wish(forwarder.platform.settings.domain,
-                              run.route.large,
-                              placement.mean_work(servers, forwarder.states))
-        choice = placement.choose(servers, forwarder.states, wish, now,
+        wish = placement.Wish(
+            forwarder.platform.settings.domain, run.route.large,
+            placement.mean_work(servers, forwarder.server_states))
+        choice = placement.choose(servers, forwarder.server_states, wish, now,
                                   forwarder.generator.random)
     if choice is None and not servers and waits_ms:
         return outcomes.NotRun(
@@ -118,7 +118,7 @@
     if leaves_at is None:
         return False
     bounds = forwarder.platform.settings.bounds
-    last = leaves_at + bounds.drain_ms - forwarder.limits.leave_ms
+    last = leaves_at + bounds.drain_ms - forwarder.age_limits.leave_ms
     return forwarder.clock.now() >= last
 
 
@@ -128,7 +128,7 @@
 
     A server's answers report draining even if the store is unavailable.
     """
-    state = forwarder.states.get(server.id)
+    state = forwarder.server_states.get(server.id)
     if state is not None and state.draining_at is not None:
         return state.draining_at
     return server.draining_at if server.draining else None
@@ -144,7 +144,7 @@
 def _find_pause(forwarder: requests.Forwarder, server: tables.Server,
                 now: float) -> float:
     """Returns the time left of the pause that a server requested, ms."""
-    state = forwarder.states.get(server.id)
+    state = forwarder.server_states.get(server.id)
     return 0.0 if state is None else max(0.0, state.paused_until - now)
 
 
@@ -195,17 +195,19 @@
             return outcomes.NotRun(
                 _Reason.CANCELLED,
                 f'waited for an owner of key {key}, sent to {run.avoid}')
-        forwarder.hurry.set()
+        forwarder.report_now.set()
         await_change(forwarder, snapshot,
                      min(wait_until, now + OWNER_LOOK_MS) - now)
     with forwarder.lock:
-        state = forwarder.states.setdefault(server.id, placement.ServerState())
+        state = forwarder.server_states.setdefault(server.id,
+                                                   placement.ServerState())
         if state.avoid_until > now:
             return outcomes.NotRun(_Reason.NO_SERVER,
                                    'the owner of the key is down',
                                    OWNER_RETRY_MS)
         work_ms = state.shared_ms or placement.mean_work(
-            snapshot.servers[run.service.name].values(), forwarder.states)
+            snapshot.servers[run.service.name].values(),
+            forwarder.server_states)
         expected_ms, full = placement.expect(server, state, work_ms, now, True)
         choice = placement.Choice(server, expected_ms, full,
                                   placement.find_mean(state, work_ms))
@@ -228,14 +230,14 @@
 
 def _find_look(forwarder: requests.Forwarder, server: tables.Server) -> float:
     """Returns how long to look for another owner of a key, ms."""
-    state = forwarder.states.get(server.id)
+    state = forwarder.server_states.get(server.id)
     work_ms = state.shared_ms if state is not None else 0.0
     return min(OWNER_WAIT_MS, max(OWNER_LOOK_MS, work_ms))
 
 
 def _is_unserved(forwarder: requests.Forwarder, service: str, key: int) -> bool:
     return any(first <= key <= last
-               for first, last in forwarder.unserved.get(service, ()))
+               for first, last in forwarder.unserved_ranges.get(service, ()))
 
 
 def _find_owner(snapshot: tables.Snapshot, service: str,
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -115,8 +115,8 @@
         hurry_ms = max(HURRY_MS, HURRY_PER_ENTRY_MS * entries)
         pause_ms = find_pause(entries)
         clocks.pause(hurry_ms)
-        forwarder.hurry.wait((pause_ms - hurry_ms) / clocks.MS_PER_S)
-        forwarder.hurry.clear()
+        forwarder.report_now.wait((pause_ms - hurry_ms) / clocks.MS_PER_S)
+        forwarder.report_now.clear()
         exchange(reporter)
 
 
@@ -166,7 +166,7 @@
             reporter.instance, rows, _count_inflight(forwarder), {
                 name: item.next_fence
                 for name, item in forwarder.snapshot.assignments.items()
-            }, forwarder.followed, wants_works,
+            }, forwarder.followed_revision, wants_works,
             ratelimits.list_limits(forwarder.rate_limits, asked_at),
             _list_draining(forwarder), evidence, peer.instance,
             exchanged.heard))
@@ -181,8 +181,8 @@
 def _note_hubs(reporter: Reporter, peers: dict[ports.Peer, set[str]]) -> None:
     """Notes who the hubs are now; only the first tries blocked requests."""
     first = next(iter(peers), None)
-    reporter.forwarder.tries_suspects = (first is not None and
-                                         first.instance == reporter.instance)
+    reporter.forwarder.runs_trials = (first is not None and
+                                      first.instance == reporter.instance)
     reporter.exchanged = {
         peer.instance: reporter.exchanged.get(peer.instance, Exchanged())
         for peer in peers
@@ -219,7 +219,7 @@
     # What is told is at least as new as these say.
     known = forwarder.freshness.known
     configuration_revision = forwarder.configuration_revision
-    revision, version = forwarder.followed, forwarder.newest_version
+    revision, version = forwarder.followed_revision, forwarder.newest_configuration_version
     hub.note_inflight(table, found.entry, found.inflight, now)
     suspects.merge(forwarder, found.evidence, now)
     heard = found.evidence_seen if found.hub == reporter.instance else 0
@@ -286,7 +286,8 @@
     hubs = known & {peer.address for peer in find_hubs(reporter)}
     if whole and hubs and forwarder.generator.random() < HUB_PART:
         address = min(hubs)
-    return ask_state(reporter, address, 0 if whole else forwarder.followed)
+    return ask_state(reporter, address,
+                     0 if whole else forwarder.followed_revision)
 
 
 def ask_state(reporter: Reporter, address: str,
@@ -366,17 +367,17 @@
         reporter.hear(heard)
         _apply_rate_limits(reporter, told)
         with forwarder.lock:
-            for name, state in forwarder.states.items():
+            for name, state in forwarder.server_states.items():
                 state.reported = float(reply.others.get(name, 0))
                 state.reported_at = now
-    forwarder.unserved = {
+    forwarder.unserved_ranges = {
         name: item.unserved for name, item in coordinated.items()
     }
     with forwarder.lock:
         for item in coordinated.values():
             for name, work_ms in item.works.items():
-                state = forwarder.states.setdefault(name,
-                                                    placement.ServerState())
+                state = forwarder.server_states.setdefault(
+                    name, placement.ServerState())
                 state.shared_ms = work_ms
 
 
@@ -400,7 +401,7 @@
     """Returns the ids of servers whose answers reported draining."""
     with forwarder.lock:
         return [
-            name for name, state in forwarder.states.items()
+            name for name, state in forwarder.server_states.items()
             if state.draining_at is not None
         ]
 
@@ -409,6 +410,6 @@
     with forwarder.lock:
         return {
             name: state.inflight
-            for name, state in forwarder.states.items()
+            for name, state in forwarder.server_states.items()
             if state.inflight > 0
         }
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -120,48 +120,49 @@
     platform: ports.Platform
     logger: object
     rules: connections.Rules
-    index: matching.RouteIndex = dataclasses.field(
+    route_index: matching.RouteIndex = dataclasses.field(
         default_factory=lambda: matching.make_index({}))
     snapshot: tables.Snapshot = dataclasses.field(
         default_factory=lambda: tables.Snapshot(None, {}, {}, {}, {}))
     changed: threading.Condition = dataclasses.field(
         default_factory=threading.Condition)
-    states: dict[str, placement.ServerState] = dataclasses.field(
+    server_states: dict[str, placement.ServerState] = dataclasses.field(
         default_factory=dict)
     pools: dict[str, connections.Pool] = dataclasses.field(default_factory=dict)
-    repeats: dict[str, budgets.Budget] = dataclasses.field(default_factory=dict)
-    running: set['Run'] = dataclasses.field(default_factory=set)
+    retry_budgets: dict[str, budgets.Budget] = dataclasses.field(
+        default_factory=dict)
+    in_flight: set['Run'] = dataclasses.field(default_factory=set)
     rate_limits: ratelimits.RateLimits = dataclasses.field(
         default_factory=ratelimits.RateLimits)
     permit_table: permits.PermitTable = dataclasses.field(
         default_factory=permits.PermitTable)
     samples: list[Sample] = dataclasses.field(default_factory=list)
-    hurry: threading.Event = dataclasses.field(default_factory=threading.Event)
-    unserved: dict[str,
-                   list[tuple[int,
-                              int]]] = dataclasses.field(default_factory=dict)
+    report_now: threading.Event = dataclasses.field(
+        default_factory=threading.Event)
+    unserved_ranges: dict[str, list[tuple[int, int]]] = dataclasses.field(
+        default_factory=dict)
     coordinated: dict[str, tables.Coordinated] = dataclasses.field(
         default_factory=dict)
     suspects: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine)
-    losses: dict[str, list] = dataclasses.field(default_factory=dict)
-    blocked: frozenset[bytes] = frozenset()
-    tries_suspects: bool = False
-    tried: dict[bytes, float] = dataclasses.field(default_factory=dict)
+    lost_requests: dict[str, list] = dataclasses.field(default_factory=dict)
+    logged_blocked: frozenset[bytes] = frozenset()
+    runs_trials: bool = False
+    last_trials_at: dict[bytes, float] = dataclasses.field(default_factory=dict)
     started_at: float = float('-inf')
     departure: departures.Departure = dataclasses.field(
         default_factory=departures.Departure)
-    limits: staleness.Limits = dataclasses.field(
+    age_limits: staleness.Limits = dataclasses.field(
         default_factory=staleness.make_limits)
     freshness: staleness.Freshness = dataclasses.field(
         default_factory=staleness.Freshness)
-    followed: int = 0
-    version: int = 0
+    followed_revision: int = 0
+    configuration_version: int = 0
     configuration_revision: int = 0
-    newest_version: int = 0
-    news: tables.News = tables.News()
-    heard: tables.News = tables.News()
-    outdated_logged_at: float = float('-inf')
+    newest_configuration_version: int = 0
+    own_progress: tables.News = tables.News()
+    hub_progress: tables.News = tables.News()
+    stale_logged_at: float = float('-inf')
     unavailable_logged_at: float = float('-inf')
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
     generator: random.Random = dataclasses.field(default_factory=random.Random)
@@ -228,19 +229,19 @@
 def is_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be sent by what is known of servers."""
     known_at = staleness.find_applied(forwarder.freshness).servers_at
-    return _is_usable(forwarder, known_at, forwarder.limits.send_ms)
+    return _is_usable(forwarder, known_at, forwarder.age_limits.send_ms)
 
 
 def is_configuration_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be routed by the configuration."""
     known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return _is_usable(forwarder, known_at, forwarder.limits.route_ms)
+    return _is_usable(forwarder, known_at, forwarder.age_limits.route_ms)
 
 
 def may_deny(forwarder: Forwarder) -> bool:
     """Returns whether a route that isn't known certainly doesn't exist."""
     known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return find_age(forwarder, known_at) <= forwarder.limits.deny_ms
+    return find_age(forwarder, known_at) <= forwarder.age_limits.deny_ms
 
 
 def _is_usable(forwarder: Forwarder, known_at: float, limit_ms: float) -> bool:
@@ -251,4 +252,4 @@
     """Returns whether the store seems to be away from everybody."""
     return staleness.is_store_away(forwarder.freshness, list_others(forwarder),
                                    forwarder.platform.store.find_silence(),
-                                   forwarder.clock.now(), forwarder.limits)
+                                   forwarder.clock.now(), forwarder.age_limits)
--- a/lentilmoor/edge/savedsuspects.py
+++ b/lentilmoor/edge/savedsuspects.py
@@ -33,7 +33,7 @@
     saved = owned.everything.suspects
     if not (forwarder.suspects.suspects or saved) or now < owned.suspects_at:
         return
-    if not forwarder.tries_suspects or owned.lost_at:
+    if not forwarder.runs_trials or owned.lost_at:
         return
     blocked = quarantine.list_condemned(forwarder.suspects)
     for fingerprint, suspect in blocked.items():
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -48,7 +48,7 @@
     Returns:
       The pause until the next time, ms.
     """
-    limits = follower.reporter.forwarder.limits
+    limits = follower.reporter.forwarder.age_limits
     if follower.place is None or follower.seen is None:
         return limits.hold_ms
     began = follower.clock.now()
@@ -70,7 +70,7 @@
 def seek(follower: knowledge.Follower) -> None:
     """Asks others at random if what is known is old; returns at once."""
     forwarder, now = follower.reporter.forwarder, follower.clock.now()
-    limits, known = forwarder.limits, forwarder.freshness.known
+    limits, known = forwarder.age_limits, forwarder.freshness.known
     known_at = min(known.servers_at, known.configuration_at)
     if follower.seen is None or now - known_at < limits.seek_ms:
         _note_sought(follower, now, False)
@@ -171,13 +171,15 @@
     reporter = follower.reporter
     forwarder = reporter.forwarder
     data = reports.encode_news(
-        reports.NewsRequest(reporter.instance, forwarder.followed,
-                            forwarder.version if lacks else None, waits))
+        reports.NewsRequest(reporter.instance, forwarder.followed_revision,
+                            forwarder.configuration_version if lacks else None,
+                            waits))
     asked_at = follower.clock.now()
-    wait_ms = forwarder.limits.hold_ms if waits else 0.0
+    wait_ms = forwarder.age_limits.hold_ms if waits else 0.0
     result = reporter.caller.call(address,
                                   httpcalls.Request('POST', PATH, data),
-                                  wait_ms + forwarder.limits.ask_ms, CONNECT_MS)
+                                  wait_ms + forwarder.age_limits.ask_ms,
+                                  CONNECT_MS)
     failed = isinstance(result, outcomes.Failed)
     reply = None
     if not failed and result.status == 200:
@@ -193,7 +195,7 @@
     # may have taken all the time for which it wasn't held.
     replied_at = asked_at + reply.held_ms
     staleness.note_copy(forwarder.freshness, replied_at - reply.news_age_ms)
-    if reply.unanswered_ms >= forwarder.limits.unanswered_ms:
+    if reply.unanswered_ms >= forwarder.age_limits.unanswered_ms:
         staleness.note_unreached(forwarder.freshness, address,
                                  follower.clock.now())
     return tables.News(reply.revision, replied_at - reply.news_age_ms,
@@ -212,10 +214,10 @@
     """
     forwarder = follower.reporter.forwarder
     began = follower.clock.now()
-    lacks = asked.version is not None and asked.version < forwarder.version
+    lacks = asked.version is not None and asked.version < forwarder.configuration_version
     if asked.waits and not lacks:
         knowledge.await_change(follower, asked.revision,
-                               forwarder.limits.hold_ms)
+                               forwarder.age_limits.hold_ms)
     # What is told is at least as new as these say.
     known = forwarder.freshness.known
     known_at = follower.clock.now()
@@ -230,7 +232,7 @@
         since=asked.revision,
         changes=store.tell_news(asked.revision, room, asked.version),
         news_age_ms=min(known_at - known.servers_at, reports.NEVER_MS),
-        version=forwarder.newest_version,
+        version=forwarder.newest_configuration_version,
         held_ms=known_at - began,
         configuration_age_ms=min(known_at - known.configuration_at,
                                  reports.NEVER_MS),
--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -121,8 +121,8 @@
 
     One entry alone tries it, and not again before the next block would end.
     """
-    tried_at = forwarder.tried.get(fingerprint, -math.inf)
-    return forwarder.tries_suspects and now >= tried_at + crashes.BLOCK_MS
+    tried_at = forwarder.last_trials_at.get(fingerprint, -math.inf)
+    return forwarder.runs_trials and now >= tried_at + crashes.BLOCK_MS
 
 
 def begin_trial(forwarder: requests.Forwarder,
@@ -132,7 +132,7 @@
     with forwarder.lock:
         if not _may_try(forwarder, fingerprint, now):
             return False
-        forwarder.tried[fingerprint] = now
+        forwarder.last_trials_at[fingerprint] = now
     forwarder.logger.warning('suspect_tried',
                              request=request.fields.request_id,
                              fingerprint=fingerprint.hex())
@@ -174,8 +174,9 @@
         return
     loss = Loss(make_fingerprint(run.request), server.service, run.sent_at, now)
     with forwarder.lock:
-        state = forwarder.states.setdefault(server.id, placement.ServerState())
-        losses = forwarder.losses.setdefault(server.id, [])
+        state = forwarder.server_states.setdefault(server.id,
+                                                   placement.ServerState())
+        losses = forwarder.lost_requests.setdefault(server.id, [])
         losses.append(loss)
         del losses[:-_MOST_LOSSES]
         asks = (_is_silent(state, loss) and
@@ -212,7 +213,7 @@
                 now: float) -> bool:
     """Returns whether a server drains, or was unlisted at a time."""
     known = _find_known(forwarder, server)
-    state = forwarder.states.get(server.id)
+    state = forwarder.server_states.get(server.id)
     return (known.draining or 0.0 < known.unlisted_at <= now or
             state is not None and state.draining_at is not None)
 
@@ -236,14 +237,14 @@
       ran: Whether the answer proves that the request ran.
     """
     table, now = forwarder.suspects, forwarder.clock.now()
-    if server.id in forwarder.losses:
+    if server.id in forwarder.lost_requests:
         with forwarder.lock:
             kept = [
-                loss for loss in forwarder.losses.pop(server.id, [])
+                loss for loss in forwarder.lost_requests.pop(server.id, [])
                 if not opened_at < loss.at < run.sent_at
             ]
             if kept:
-                forwarder.losses[server.id] = kept
+                forwarder.lost_requests[server.id] = kept
     if not table.suspects:
         return
     quarantine.report_survived(table, server.id, opened_at, now,
@@ -281,10 +282,10 @@
     It may be alive, unless requests were lost and none was answered since.
     """
     with forwarder.lock:
-        state = forwarder.states.get(server.id, placement.ServerState())
+        state = forwarder.server_states.get(server.id, placement.ServerState())
         silent = any(
             _is_silent(state, loss) and loss.at > forwarder.clock.now() -
-            _LOSS_MS for loss in forwarder.losses.get(server.id, []))
+            _LOSS_MS for loss in forwarder.lost_requests.get(server.id, []))
     if silent and not _is_leaving(forwarder, server, 0.0):
         _note_crash(forwarder, server, 'unlisted')
 
@@ -293,7 +294,7 @@
     """Reports the requests that were lost on a server that has crashed."""
     table, now = forwarder.suspects, forwarder.clock.now()
     with forwarder.lock:
-        losses = forwarder.losses.pop(server, [])
+        losses = forwarder.lost_requests.pop(server, [])
     recent = [loss for loss in losses if loss.at > now - _LOSS_MS]
     for loss in recent:
         quarantine.report_crash(table, loss.fingerprint, loss.service, server,
@@ -306,7 +307,7 @@
             fingerprints=[
                 loss.fingerprint.hex() for loss in recent[:_MOST_NAMED]
             ])
-        forwarder.hurry.set()
+        forwarder.report_now.set()
 
 
 def merge(forwarder: requests.Forwarder,
@@ -321,7 +322,7 @@
     evidence = list(evidence)
     quarantine.merge(forwarder.suspects, evidence, at)
     for item in evidence:
-        if not item.fingerprint and item.server in forwarder.losses:
+        if not item.fingerprint and item.server in forwarder.lost_requests:
             _blame(forwarder, item.server)
 
 
@@ -330,21 +331,21 @@
     table, now = forwarder.suspects, forwarder.clock.now()
     quarantine.step(table, now)
     with forwarder.lock:
-        for server, losses in list(forwarder.losses.items()):
+        for server, losses in list(forwarder.lost_requests.items()):
             if losses[-1].at <= now - _LOSS_MS:
-                del forwarder.losses[server]
-        for fingerprint, tried_at in list(forwarder.tried.items()):
+                del forwarder.lost_requests[server]
+        for fingerprint, tried_at in list(forwarder.last_trials_at.items()):
             if now >= tried_at + crashes.BLOCK_MS:
-                del forwarder.tried[fingerprint]
+                del forwarder.last_trials_at[fingerprint]
     blocked = quarantine.list_blocked(table, now)
-    for fingerprint in blocked.keys() - forwarder.blocked:
+    for fingerprint in blocked.keys() - forwarder.logged_blocked:
         forwarder.logger.warning(
             'request_quarantined',
             fingerprint=fingerprint.hex(),
             service=blocked[fingerprint].service,
             servers=[crash.server for crash in blocked[fingerprint].crashes],
             left_ms=round(blocked[fingerprint].blocked_until - now))
-    for fingerprint in forwarder.blocked - blocked.keys():
+    for fingerprint in forwarder.logged_blocked - blocked.keys():
         forwarder.logger.warning('request_released',
                                  fingerprint=fingerprint.hex())
-    forwarder.blocked = frozenset(blocked)
+    forwarder.logged_blocked = frozenset(blocked)
--- a/lentilmoor/edge/weighing.py
+++ b/lentilmoor/edge/weighing.py
@@ -61,7 +61,7 @@
             placement.note_failure(state, now, status == 503)
         run.avoid.add(server.id)
         if run.service.keyed:
-            forwarder.hurry.set()
+            forwarder.report_now.set()
         return None
     good = status < _SERVER_FAULT
     if status in _SUCCESS and not fields.proven:
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -85,7 +85,7 @@
             store.connect_store(self.path.address, clock, logger))
         platform = ports.Platform(settings, connected, mock.Mock(), mock.Mock())
         self.forwarder = requests.Forwarder(clock, platform, logger, None)
-        self.forwarder.limits = settings.limits
+        self.forwarder.age_limits = settings.limits
         self.actor = control.Control.start(
             beliefs.Beliefs(settings.instance), self.forwarder, platform,
             logger, lambda: following.follow_again(self.follower))
--- a/tests/test_edge_departures.py
+++ b/tests/test_edge_departures.py
@@ -102,7 +102,7 @@
         self.assertIs(outcome.reason, outcomes.Reason.SHUTTING_DOWN)
 
     def test_one_that_waits_for_its_owner_is_not_sent(self):
-        self.forwarder.states[self.after.id] = placement.ServerState(
+        self.forwarder.server_states[self.after.id] = placement.ServerState(
             shared_ms=220.0)
         self._publish('nobody')
         self._leave_before_the_key_moves()
@@ -111,7 +111,7 @@
 
     def test_one_that_waits_for_a_connection_is_not_sent(self):
         self._publish(self.after.id)
-        self.forwarder.states[self.after.id] = placement.ServerState(
+        self.forwarder.server_states[self.after.id] = placement.ServerState(
             shared_ms=100.0)
         pool = requests.connections.Pool(self.after.address,
                                          self.forwarder.rules,
@@ -128,7 +128,7 @@
         self.assertEqual(self.after.arrivals, 0)
 
     def test_one_that_was_turned_away_is_not_sent_again(self):
-        self.forwarder.states[self.after.id] = placement.ServerState(
+        self.forwarder.server_states[self.after.id] = placement.ServerState(
             shared_ms=220.0)
         self._leave_before_the_key_moves()
         self._assert_refused(self._forward())
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -337,10 +337,10 @@
     def test_following_is_not_begun_anew_while_somebody_tells(self):
         self.follower.begun = 1
         now = self.follower.clock.now()
-        self.forwarder.heard = tables.News(5, now)
+        self.forwarder.hub_progress = tables.News(5, now)
         following.follow_again(self.follower)
         self.assertEqual(self.follower.begun, 1)
-        self.forwarder.heard = tables.News(5, now - 10_000.0)
+        self.forwarder.hub_progress = tables.News(5, now - 10_000.0)
         following.follow_again(self.follower)
         self.assertEqual(self.follower.begun, 2)
         self.follower.begun = 3
@@ -348,11 +348,11 @@
     def test_who_hears_from_nobody_begins_anew(self):
         now = self.follower.clock.now()
         self.follower.begun, self.follower.began_at = 1, now - 60_000.0
-        silent_ms = self.forwarder.limits.silent_ms
-        self.forwarder.heard = tables.News(5, now - silent_ms / 2)
+        silent_ms = self.forwarder.age_limits.silent_ms
+        self.forwarder.hub_progress = tables.News(5, now - silent_ms / 2)
         following.check(self.follower)
         self.assertEqual(self.follower.begun, 1)
-        self.forwarder.heard = tables.News(5, now - silent_ms - 1.0)
+        self.forwarder.hub_progress = tables.News(5, now - silent_ms - 1.0)
         following.check(self.follower)
         self.assertEqual(self.follower.begun, 2)
         following.check(self.follower)
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -84,7 +84,7 @@
         }
         assignment = keyranges.Assignment(
             'catalog', 1, 3, (keyranges.KeyRange(0, 65_535, owner, 2),))
-        self.forwarder.index = matching.make_index(configuration.routes)
+        self.forwarder.route_index = matching.make_index(configuration.routes)
         with self.forwarder.changed:
             self.forwarder.snapshot = tables.Snapshot(configuration,
                                                       {'catalog': servers},
@@ -144,14 +144,14 @@
     def test_it_waits_for_the_new_owner_as_long_as_work_takes(self):
         # Keys are released when the work on them has ended: entries asked the
         # old owner again after 60 ms, and had no tries left after 120 ms.
-        self.forwarder.states[self.before.id] = placement.ServerState(
+        self.forwarder.server_states[self.before.id] = placement.ServerState(
             shared_ms=220.0)
         threading.Timer(0.18, self._publish, (self.after.id,)).start()
         outcome = self._forward()
         self.assertIsInstance(outcome, tries.Answer)
         self.assertEqual(outcome.status, 200)
         self.assertEqual((self.before.arrivals, self.after.arrivals), (1, 1))
-        self.assertTrue(self.forwarder.hurry.is_set())
+        self.assertTrue(self.forwarder.report_now.is_set())
 
     def _drain_owner(self, learned_ms_ago: float) -> None:
         """The owner leaves, and its key does not move."""
@@ -189,8 +189,9 @@
 
     def test_an_owner_whose_answers_report_draining_gets_no_late_requests(self):
         for ago_ms, sent in ((500.0, True), (1_001.0, False)):
-            self.forwarder.states[self.before.id] = placement.ServerState(
-                draining_at=self.forwarder.clock.now() - ago_ms)
+            self.forwarder.server_states[
+                self.before.id] = placement.ServerState(
+                    draining_at=self.forwarder.clock.now() - ago_ms)
             earlier_arrivals = self.before.arrivals
             outcome = self._forward()
             self.assertEqual(self.before.arrivals > earlier_arrivals, sent)
@@ -200,7 +201,7 @@
         # A request for a key must be refused at once, not held and retried.
         state = placement.ServerState(paused_until=self.forwarder.clock.now() +
                                       300.0)
-        self.forwarder.states[self.before.id] = state
+        self.forwarder.server_states[self.before.id] = state
         started_at = self.forwarder.clock.now()
         outcome = self._forward()
         self.assertIsInstance(outcome, outcomes.NotRun)
@@ -217,7 +218,7 @@
         self.forwarder.pools[self.before.id] = connections.Pool(
             self.before.address, rules, self.forwarder.clock)
         state = placement.ServerState()
-        self.forwarder.states[self.before.id] = state
+        self.forwarder.server_states[self.before.id] = state
         threading.Timer(0.1, placement.note_pause,
                         (state, 5_000.0, self.forwarder.clock.now())).start()
         outcome = self._forward()
@@ -260,7 +261,7 @@
 
     def test_it_is_tried_again(self):
         self._publish(self.after.id)
-        self.forwarder.states[self.after.id] = placement.ServerState(
+        self.forwarder.server_states[self.after.id] = placement.ServerState(
             work_ms=4_000.0, answers=100)
         until = time.monotonic() + 3.0
         while time.monotonic() < until:
--- a/tests/test_edge_knowledge.py
+++ b/tests/test_edge_knowledge.py
@@ -38,7 +38,7 @@
         platform = ports.Platform(settings, self.store, mock.Mock(),
                                   mock.Mock())
         self.forwarder = requests.Forwarder(self.clock, platform, logger, None)
-        self.forwarder.limits = settings.limits
+        self.forwarder.age_limits = settings.limits
         self.handed: list[ports.Everything] = []
         self.reporter = reporting.Reporter('e1', self.forwarder, mock.Mock(),
                                            mock.Mock())
@@ -65,10 +65,11 @@
         acked_at = self.clock.now()
         self.standin.put('lentilmoor/entry/e', b'["e", "a:9", false]')
         revision = revisions.combine(
-            revisions.find_era(self.forwarder.followed), self.standin.revision)
+            revisions.find_era(self.forwarder.followed_revision),
+            self.standin.revision)
         other.merge_news(b'', revision)
         knowledge.take(self.follower, self.store.restore(other.dump(0)), True)
-        self.assertEqual(self.forwarder.followed, revision)
+        self.assertEqual(self.forwarder.followed_revision, revision)
         return acked_at
 
     def _check_newest_is_read(self, acked_at):
@@ -76,11 +77,11 @@
         self.assertLess(self.forwarder.freshness.known.configuration_at,
                         acked_at)
         following.read(self.follower, 0)
-        self.assertEqual(self.forwarder.version, 2)
+        self.assertEqual(self.forwarder.configuration_version, 2)
 
     def test_a_hub_that_hears_itself_learns_nothing(self):
         acked_at = self._learn_without_the_newest()
-        own = reports.Report('e1', {}, {}, {}, self.forwarder.followed)
+        own = reports.Report('e1', {}, {}, {}, self.forwarder.followed_revision)
         told = reporting.Told(reporting.answer(self.reporter, own),
                               self.clock.now())
         reporting.apply(self.reporter, [told])
@@ -109,10 +110,10 @@
             tables.News(found.revision, now, before.revision,
                         other.tell_news(found.revision, 2**20, 1), 2, now,
                         found.revision))
-        self.assertEqual(self.forwarder.version, 2)
+        self.assertEqual(self.forwarder.configuration_version, 2)
         knowledge.take(self.follower, found, False)
-        self.assertEqual(self.forwarder.newest_version, 2)
-        self.assertEqual(self.forwarder.version, 2)
+        self.assertEqual(self.forwarder.newest_configuration_version, 2)
+        self.assertEqual(self.forwarder.configuration_version, 2)
 
 
 class DrainingTest(unittest.TestCase):
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -328,18 +328,18 @@
 
     def test_what_each_tells_of_its_service_stands_beside_the_other(self):
         reporting.exchange(self.reporter)
-        self.assertEqual(self.forwarder.unserved, {
+        self.assertEqual(self.forwarder.unserved_ranges, {
             'x': [(1, 2)],
             'y': [(7, 9)]
         })
-        self.assertEqual(self.forwarder.states['s1'].shared_ms, 30.0)
-        self.assertEqual(self.forwarder.states['s2'].shared_ms, 70.0)
+        self.assertEqual(self.forwarder.server_states['s1'].shared_ms, 30.0)
+        self.assertEqual(self.forwarder.server_states['s2'].shared_ms, 70.0)
 
     def test_what_a_lost_one_told_of_its_service_is_forgotten(self):
         reporting.exchange(self.reporter)
         del self.replies['a:1']
         reporting.exchange(self.reporter)
-        self.assertEqual(self.forwarder.unserved, {'y': [(7, 9)]})
+        self.assertEqual(self.forwarder.unserved_ranges, {'y': [(7, 9)]})
 
     def test_what_a_lost_one_told_to_be_blocked_stays_blocked(self):
         reporting.exchange(self.reporter)
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -280,7 +280,7 @@
         now = self.time.at
         self.follower.place = relays.Place(relay, ('b:1',))
         self.follower.told_at = now - told_ms
-        self.forwarder.heard = tables.News(1, now - heard_ms)
+        self.forwarder.hub_progress = tables.News(1, now - heard_ms)
         self.forwarder.freshness = staleness.Freshness(
             staleness.Times(now - heard_ms, now - heard_ms))
         return following.find_pause(self.follower)
@@ -291,7 +291,7 @@
 
     def test_relays_look_when_the_hub_knows_nothing_new(self):
         self.assertEqual(self._find_pause(True, 1_300.0),
-                         self.forwarder.limits.lead_pause_ms)
+                         self.forwarder.age_limits.lead_pause_ms)
 
     def test_the_others_leave_that_to_the_relays(self):
         # 195 entries that looked for themselves while the hub couldn't reach
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -94,7 +94,7 @@
                 sent_at: float | None = None) -> None:
         run = requests.Run(request, _ROUTE, _SERVICE, 0.0)
         run.sent_at = self.time.at - 1.0 if sent_at is None else sent_at
-        state = self.forwarder.states.get(server.id)
+        state = self.forwarder.server_states.get(server.id)
         if state is not None:
             state.answered_at = self.time.at
         suspects.note_answer(self.forwarder, run, server, opened_at, True)
@@ -252,7 +252,7 @@
 
     def test_it_is_not_tried_where_it_explains_all_crashes(self):
         self._block()
-        self.forwarder.tries_suspects = True
+        self.forwarder.runs_trials = True
         self.time.advance(60_000.0)
         self.assertIs(self._check(), _BLOCKED)
 
@@ -266,7 +266,7 @@
     def test_one_entry_tries_it_once_where_others_crashed_beside_it(self):
         self._block_by_mistake()
         self.assertIs(self._check(_SOUND), _BLOCKED)
-        self.forwarder.tries_suspects = True
+        self.forwarder.runs_trials = True
         self.assertIs(self._check(_SOUND), _SUSPECT)
         self.assertTrue(suspects.begin_trial(self.forwarder, _SOUND))
         self.assertFalse(suspects.begin_trial(self.forwarder, _SOUND))
@@ -278,12 +278,12 @@
         self._block_by_mistake()
         self._crash(_SOUND)
         self.time.advance(suspects.TRIAL_MS)
-        self.forwarder.tries_suspects = True
+        self.forwarder.runs_trials = True
         self.assertIs(self._check(_SOUND), _BLOCKED)
 
     def test_it_is_free_after_a_clean_trial(self):
         self._block_by_mistake()
-        self.forwarder.tries_suspects = True
+        self.forwarder.runs_trials = True
         self.assertTrue(suspects.begin_trial(self.forwarder, _SOUND))
         server, _ = self._start_server(True)
         self._answer(_SOUND, server, self.time.at)
@@ -311,7 +311,7 @@
         for _ in range(3):
             self._crash(_BAD)
             self.time.advance(1_000.0)
-        self.forwarder.tries_suspects = True
+        self.forwarder.runs_trials = True
         self.context = self._make_context(self.forwarder)
 
     def _make_context(self, forwarder: requests.Forwarder) -> mock.Mock:
@@ -345,7 +345,7 @@
         self.assertEqual(len(self._keep().suspects), 1)
 
     def test_only_the_first_hub_writes(self):
-        self.forwarder.tries_suspects = False
+        self.forwarder.runs_trials = False
         self.assertEqual(self._keep().suspects, {})
 
     def test_what_has_been_cleared_is_deleted(self):
