--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -438,4 +438,4 @@
                              server=cut.server,
                              worked_ms=worked_ms,
                              age_ms=round(now - cut.request.arrived_at),
-                             left_ms=round(cut.until - now))
+                             left_ms=round(cut.deadline_at - now))
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -87,7 +87,7 @@
                                      route.timeout_ms)
     run = requests.Run(request, route, service, until)
     if verdict is quarantine.Verdict.SUSPECT:
-        run.on_trial = suspects.begin_trial(forwarder, request)
+        run.is_trial = suspects.begin_trial(forwarder, request)
     with forwarder.lock:
         budgets.note_request(_budget_of(forwarder, name),
                              forwarder.platform.settings.bounds,
@@ -191,7 +191,7 @@
 def _check_blocked(forwarder: requests.Forwarder,
                    run: requests.Run) -> outcomes.NotRun | None:
     """Returns the refusal of a request that has been blocked since it came."""
-    if run.on_trial or suspects.check(forwarder,
+    if run.is_trial or suspects.check(forwarder,
                                       run.request) is quarantine.Verdict.CLEAR:
         return None
     return suspects.refuse()
@@ -200,14 +200,15 @@
 def _check_departure(forwarder: requests.Forwarder, run: requests.Run,
                      choice: placement.Choice) -> outcomes.NotRun | None:
     """Returns the refusal of a request that can't end before this process."""
-    return departures.check_send(forwarder.departure, run.until, run.repeatable,
-                                 choice.expected_ms, forwarder.clock.now())
+    return departures.check_send(forwarder.departure, run.deadline_at,
+                                 run.idempotent, choice.expected_ms,
+                                 forwarder.clock.now())
 
 
 def _check_repeat(forwarder: requests.Forwarder, run: requests.Run,
                   choice: placement.Choice) -> outcomes.NotRun | None:
     """Returns the refusal of a try for which no repeat is left."""
-    if not run.sent or _may_repeat(forwarder, run, choice):
+    if not run.sent_to or _may_repeat(forwarder, run, choice):
         return None
     return outcomes.NotRun(_Reason.OVERLOADED,
                            'no repeats are left for the service',
@@ -220,7 +221,7 @@
         return False
     # The new owner of a moving key may have turned the request away before it
     # was granted the key; asking it again takes it to no other server.
-    if len(run.sent | {choice.server.id}) > max(1, run.route.attempts):
+    if len(run.sent_to | {choice.server.id}) > max(1, run.route.attempts):
         return False
     with forwarder.lock:
         return budgets.take_repeat(_budget_of(forwarder, run.service.name),
@@ -235,7 +236,8 @@
     request, server = run.request, choice.server
     state, pool = _enter(forwarder, run.service, server)
     sent_at = forwarder.clock.now()
-    until = min(run.until, departures.find_end(forwarder.departure, sent_at))
+    until = min(run.deadline_at,
+                departures.find_end(forwarder.departure, sent_at))
 
     def make_headers() -> dict[str, str] | None:
         # A connection may take 0.5 s on a small machine, in which news come.
@@ -246,8 +248,9 @@
         if requests.find_news_age(forwarder) > forwarder.age_limits.send_ms:
             _log_outdated(forwarder, request, 'sent_by_old_copy')
         _log_if_unavailable(forwarder, run, server, state)
-        ratelimits.note_sent(forwarder.rate_limits, server.id, bool(run.sent),
-                             forwarder.clock.now(), forwarder.logger)
+        ratelimits.note_sent(forwarder.rate_limits, server.id,
+                             bool(run.sent_to), forwarder.clock.now(),
+                             forwarder.logger)
         headers = dict(request.headers)
         run.server, run.sent_at = server.id, forwarder.clock.now()
         forwarder.platform.dialect.mark(headers, server.name or server.id,
@@ -256,7 +259,7 @@
 
     order = exchange.Order(request.fields.request_id, request.method,
                            request.target, make_headers, request.body,
-                           run.repeatable, until)
+                           run.idempotent, until)
     result = exchange.send(pool, order, request.watch,
                            forwarder.platform.dialect.read_answer,
                            forwarder.clock)
@@ -270,7 +273,7 @@
     if isinstance(result, exchange.Withheld):
         with forwarder.lock:
             placement.note_left(state)
-        run.avoid.add(server.id)
+        run.excluded_servers.add(server.id)
         late = _check_departure(forwarder, run, choice)
         return None if late is None else weighing.conclude(run, late)
     if isinstance(result, exchange.NotSent):
@@ -278,9 +281,9 @@
             placement.note_unreached(state, now)
         if result.reason is _Reason.CONNECT_FAILED:
             suspects.note_refused(forwarder, server)
-        run.avoid.add(server.id)
+        run.excluded_servers.add(server.id)
         return None
-    run.sent.add(server.id)
+    run.sent_to.add(server.id)
     if isinstance(result, outcomes.Unknown):
         suspects.note_loss(forwarder, run, server, pool, result.reason
                            is _Reason.TIMED_OUT)
@@ -326,7 +329,7 @@
                           server=server.id,
                           draining_ms=round(draining_ms),
                           pause_left_ms=round(max(0, state.paused_until - now)),
-                          repeat=bool(run.sent))
+                          repeat=bool(run.sent_to))
 
 
 def _enter(
--- a/lentilmoor/edge/picks.py
+++ b/lentilmoor/edge/picks.py
@@ -39,8 +39,8 @@
     candidates = [
         server for server in forwarder.snapshot.servers.get(
             run.service.name, {}).values()
-        if _find_draining_at(forwarder, server) is None and
-        server.id not in run.avoid and not _has_left(forwarder, server)
+        if _find_draining_at(forwarder, server) is None and server.id not in
+        run.excluded_servers and not _has_left(forwarder, server)
     ]
     waits_ms = {
         server.id: _find_wait(forwarder, server, now) for server in candidates
@@ -102,10 +102,10 @@
             return None
         ratelimits.note_denied(forwarder.rate_limits, server.id, wait_ms,
                                clock.now())
-    run.avoid.add(server.id)
+    run.excluded_servers.add(server.id)
     if run.service.keyed:
         _note_refused_demand(forwarder, run, server)
-    left_ms = run.until - clock.now()
+    left_ms = run.deadline_at - clock.now()
     return outcomes.NotRun(
         _Reason.OVERLOADED, f'{server.id} takes {limit.rate} requests a second',
         round(waiting.find_return(max(wait_ms, left_ms * waiting.RETURN_PART))))
@@ -152,7 +152,7 @@
                 now: float) -> placement.Choice | outcomes.NotRun:
     """Refuses at once what can't be served in time."""
     prospect = waiting.Prospect(choice.expected_ms, choice.full,
-                                run.until - now)
+                                run.deadline_at - now)
     back_ms = waiting.judge(prospect)
     if back_ms is None:
         return choice
@@ -167,7 +167,7 @@
     """Finds the owner of the request's key; waits a little for a new one."""
     key = run.request.fields.key
     began = forwarder.clock.now()
-    wait_until = min(run.until, began + OWNER_WAIT_MS)
+    wait_until = min(run.deadline_at, began + OWNER_WAIT_MS)
     if _is_unserved(forwarder, run.service.name, key):
         return outcomes.NotRun(_Reason.NO_OWNER, 'no server holds the key now',
                                OWNER_RETRY_MS)
@@ -185,7 +185,7 @@
         if server is not None and not may_send(forwarder, run.service,
                                                server.id):
             server = None
-        if server is not None and (server.id not in run.avoid or now
+        if server is not None and (server.id not in run.excluded_servers or now
                                    >= began + _find_look(forwarder, server)):
             break
         if now >= wait_until:
@@ -194,7 +194,8 @@
         if run.request.watch.is_gone():
             return outcomes.NotRun(
                 _Reason.CANCELLED,
-                f'waited for an owner of key {key}, sent to {run.avoid}')
+                f'waited for an owner of key {key}, sent to {run.excluded_servers}'
+            )
         forwarder.report_now.set()
         await_change(forwarder, snapshot,
                      min(wait_until, now + OWNER_LOOK_MS) - now)
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -192,17 +192,17 @@
     request: Request
     route: tables.Route
     service: tables.Service
-    until: float
+    deadline_at: float
     server: str = ''
     sent_at: float = 0.0
-    sent: set[str] = dataclasses.field(default_factory=set)
-    avoid: set[str] = dataclasses.field(default_factory=set)
+    sent_to: set[str] = dataclasses.field(default_factory=set)
+    excluded_servers: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
-    last: tries.Answer | None = None
-    on_trial: bool = False
+    last_failure: tries.Answer | None = None
+    is_trial: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         """Whether it may be run more than once."""
         return self.route.repeat is tables.Repeat.IDEMPOTENT
 
--- a/lentilmoor/edge/weighing.py
+++ b/lentilmoor/edge/weighing.py
@@ -28,7 +28,7 @@
             _note_work(forwarder, run, server, least_ms)
     with forwarder.lock:
         placement.note_failure(state, now, False)
-    run.avoid.add(server.id)
+    run.excluded_servers.add(server.id)
     run.may_have_run = True
     forwarder.logger.info('try_lost',
                           request=run.request.fields.request_id,
@@ -38,7 +38,7 @@
                           fingerprint=suspects.make_fingerprint(
                               run.request).hex(),
                           age_ms=round(now - run.request.arrived_at))
-    if not run.repeatable or lost.reason is _Reason.TIMED_OUT:
+    if not run.idempotent or lost.reason is _Reason.TIMED_OUT:
         return lost
     return None
 
@@ -59,7 +59,7 @@
     if fields.not_run:
         with forwarder.lock:
             placement.note_failure(state, now, status == 503)
-        run.avoid.add(server.id)
+        run.excluded_servers.add(server.id)
         if run.service.keyed:
             forwarder.report_now.set()
         return None
@@ -77,13 +77,13 @@
     if status in _SUCCESS and not fields.proven:
         run.may_have_run = True
         lost = outcomes.Unknown(_Reason.ANSWER_CUT, 'an answer without proof')
-        return None if run.repeatable else lost
-    if not good and run.repeatable:
-        run.avoid.add(server.id)
+        return None if run.idempotent else lost
+    if not good and run.idempotent:
+        run.excluded_servers.add(server.id)
         run.may_have_run = True
-        run.last = reply.answer
+        run.last_failure = reply.answer
         return None
-    if status in (408, 421, 429, 503) and not run.repeatable:
+    if status in (408, 421, 429, 503) and not run.idempotent:
         # Callers would take it for a promise that it has not run.
         return outcomes.Unknown(_Reason.CONNECTION_LOST,
                                 f'the server answered {status}')
@@ -127,9 +127,9 @@
     """
     if refusal.reason is _Reason.CANCELLED:
         return exchange.Gone(refusal.detail)
-    if run.last is not None:
-        return run.last
-    if run.may_have_run and not run.repeatable:
+    if run.last_failure is not None:
+        return run.last_failure
+    if run.may_have_run and not run.idempotent:
         return outcomes.Unknown(refusal.reason, refusal.detail)
     if run.may_have_run:
         return outcomes.Unknown(_Reason.CONNECTION_LOST, refusal.detail)
