--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -261,7 +261,7 @@
         'store_era':
             float(entry.platform.store.find_era()),
         'news_age_ms':
-            requests.find_news_age(entry.forwarder),
+            requests.find_knowledge_age(entry.forwarder),
         'configuration_age_ms':
             requests.find_age(entry.forwarder,
                               entry.forwarder.freshness.known.configuration_at),
@@ -327,7 +327,7 @@
     snapshot = entry.forwarder.snapshot
     ready = (snapshot.configuration is not None and
              not entry.forwarder.departure.asked and
-             requests.is_recent(entry.forwarder) and
+             requests.is_server_data_recent(entry.forwarder) and
              requests.is_configuration_recent(entry.forwarder) and
              all(name in snapshot.assignments
                  for name in snapshot.configuration.list_keyed()))
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -126,7 +126,7 @@
                                 request.path)
     if route is not None:
         return route
-    if not _await(forwarder, request, requests.may_deny):
+    if not _await(forwarder, request, requests.may_reject_unknown_route):
         return _refuse_outdated(forwarder, request)
     # It may have come while this waited.
     route = matching.find_route(forwarder.route_index, request.host,
@@ -163,7 +163,7 @@
 def _carry(forwarder: requests.Forwarder,
            run: requests.Run) -> requests.Outcome:
     for _ in range(MOST_PICKS):
-        if not _await(forwarder, run.request, requests.is_recent):
+        if not _await(forwarder, run.request, requests.is_server_data_recent):
             return weighing.conclude(run,
                                      _refuse_outdated(forwarder, run.request))
         choice = picks.pick(forwarder, run)
@@ -245,7 +245,8 @@
                 _check_departure(forwarder, run, choice) is not None or
                 _check_blocked(forwarder, run) is not None):
             return None
-        if requests.find_news_age(forwarder) > forwarder.age_limits.send_ms:
+        if requests.find_knowledge_age(
+                forwarder) > forwarder.age_limits.send_ms:
             _log_outdated(forwarder, request, 'sent_by_old_copy')
         _log_if_unavailable(forwarder, run, server, state)
         ratelimits.note_sent(forwarder.rate_limits, server.id,
--- a/lentilmoor/edge/picks.py
+++ b/lentilmoor/edge/picks.py
@@ -70,7 +70,7 @@
     that leaves, only what it alone may run, and only for a while: its keys may
     stay with it for longer, if the coordinator can't move them.
     """
-    if not requests.is_recent(forwarder):
+    if not requests.is_server_data_recent(forwarder):
         return False
     server = forwarder.snapshot.servers.get(service.name, {}).get(server_id)
     if server is None or _find_pause(forwarder, server, forwarder.clock.now()):
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -193,7 +193,7 @@
     """Tells any other entry what no hub knows yet, while none answers."""
     forwarder = reporter.forwarder
     told = max((row.told for row in reporter.exchanged.values()), default=0)
-    others = sorted(requests.list_others(forwarder))
+    others = sorted(requests.list_other_entries(forwarder))
     if others and told < forwarder.suspects.version:
         _ask(reporter, ports.Peer('', forwarder.generator.choice(others)), {},
              False)
@@ -279,7 +279,7 @@
       Everything, if another entry knows more than this one.
     """
     forwarder = reporter.forwarder
-    known = requests.list_others(forwarder)
+    known = requests.list_other_entries(forwarder)
     if not known:
         return None
     address = forwarder.generator.choice(sorted(known))
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -207,7 +207,7 @@
         return self.route.repeat is tables.Repeat.IDEMPOTENT
 
 
-def find_news_age(forwarder: Forwarder) -> float:
+def find_knowledge_age(forwarder: Forwarder) -> float:
     """Returns how long ago an entry knew all that the store held, ms."""
     return find_age(forwarder, forwarder.freshness.known.servers_at)
 
@@ -217,7 +217,7 @@
     return min(forwarder.clock.now() - known_at, reports.NEVER_MS)
 
 
-def list_others(forwarder: Forwarder) -> set[str]:
+def list_other_entries(forwarder: Forwarder) -> set[str]:
     """Returns the addresses of the other entries."""
     settings = forwarder.platform.settings
     known = {peer.address for peer in forwarder.snapshot.entries.values()
@@ -226,7 +226,7 @@
     return known
 
 
-def is_recent(forwarder: Forwarder) -> bool:
+def is_server_data_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be sent by what is known of servers."""
     known_at = staleness.find_applied(forwarder.freshness).servers_at
     return _is_usable(forwarder, known_at, forwarder.age_limits.send_ms)
@@ -238,18 +238,20 @@
     return _is_usable(forwarder, known_at, forwarder.age_limits.route_ms)
 
 
-def may_deny(forwarder: Forwarder) -> bool:
+def may_reject_unknown_route(forwarder: Forwarder) -> bool:
     """Returns whether a route that isn't known certainly doesn't exist."""
     known_at = staleness.find_applied(forwarder.freshness).configuration_at
     return find_age(forwarder, known_at) <= forwarder.age_limits.deny_ms
 
 
 def _is_usable(forwarder: Forwarder, known_at: float, limit_ms: float) -> bool:
-    return find_age(forwarder, known_at) <= limit_ms or is_store_away(forwarder)
+    return find_age(forwarder,
+                    known_at) <= limit_ms or is_store_unavailable(forwarder)
 
 
-def is_store_away(forwarder: Forwarder) -> bool:
+def is_store_unavailable(forwarder: Forwarder) -> bool:
     """Returns whether the store seems to be away from everybody."""
-    return staleness.is_store_away(forwarder.freshness, list_others(forwarder),
+    return staleness.is_store_away(forwarder.freshness,
+                                   list_other_entries(forwarder),
                                    forwarder.platform.store.find_silence(),
                                    forwarder.clock.now(), forwarder.age_limits)
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -81,13 +81,13 @@
     if now - follower.sought_at < pause_ms:
         return
     _note_sought(follower, now, True)
-    if requests.is_store_away(forwarder):
+    if requests.is_store_unavailable(forwarder):
         forwarder.freshness.away_at = now
     if now - follower.probed_at >= limits.read_ms:
         # Whether the store answers tells what the others' silence means.
         follower.probed_at = now
         follower.probe()
-    others = sorted(requests.list_others(forwarder))
+    others = sorted(requests.list_other_entries(forwarder))
     chosen = forwarder.generator.sample(others, min(SEEK_PEERS, len(others)))
     for position, address in enumerate(chosen):
         if follower.seeking.acquire(blocking=False):
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -118,10 +118,11 @@
         reporter.hear = functools.partial(knowledge.take_news, follower)
         reporting.exchange(reporter)
         # What isn't taken in makes nothing newer.
-        self.assertEqual(requests.find_news_age(forwarder), reports.NEVER_MS)
+        self.assertEqual(requests.find_knowledge_age(forwarder),
+                         reports.NEVER_MS)
         follower.seen = ports.Everything(None, {}, {}, {}, {}, 5)
         reporting.exchange(reporter)
-        self.assertEqual(requests.find_news_age(forwarder), 1_000.0)
+        self.assertEqual(requests.find_knowledge_age(forwarder), 1_000.0)
 
 
 class StuckPeersTest(unittest.TestCase):
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -220,7 +220,7 @@
         self._listen(self.relay, 'e0:1')
         self._listen(self.entry, 'e1:1')
         time.sleep(0.8)
-        age_ms = requests.find_news_age(self.entry.reporter.forwarder)
+        age_ms = requests.find_knowledge_age(self.entry.reporter.forwarder)
         self.assertGreaterEqual(age_ms, 1_600.0)
         self.assertLess(age_ms, 3_500.0)
 
