--- a/benchmarks/edge_model.py
+++ b/benchmarks/edge_model.py
@@ -212,8 +212,8 @@
             server = self.random.choice(servers)
             expected, full = 0.0, False
         else:
-            wish = placement.Wish('', False,
-                                  placement.mean_work(self.servers, states))
+            wish = placement.ChoiceCriteria(
+                '', False, placement.average_work(self.servers, states))
             choice = self._choose(servers, states, wish)
             server, expected, full = (choice.server, choice.expected_ms,
                                       choice.full)
@@ -223,18 +223,19 @@
             self._refuse(job, back)
             return
         job.server, job.sent = self.index[server.id], self.now
-        placement.note_sent(states[server.id])
+        placement.record_sent(states[server.id])
         self._at(1.0, self._reach, job)
 
     def _choose(self, servers, states, wish) -> placement.Choice:
         if len(servers) > 1:
-            return placement.choose(servers, states, wish, self.now,
-                                    self.random.random)
+            return placement.choose_server(servers, states, wish, self.now,
+                                           self.random.random)
         server = servers[0]
         state = states[server.id]
         return placement.Choice(
             server,
-            *placement.expect(server, state, wish.work_ms, self.now, True))
+            *placement.estimate_response(server, state, wish.work_ms, self.now,
+                                         True))
 
     def _judge(self, job: Job, expected: float, full: bool) -> float | None:
         if self.policy.refuse == 'never':
@@ -287,16 +288,16 @@
 
     def _turned_away(self, job: Job) -> None:
         state = self.states[job.entry][self.servers[job.server].id]
-        placement.note_failure(state, self.now, True)
+        placement.record_failure(state, self.now, True)
         self._refuse(job, waiting.SOONEST_MS)
 
     def _answered(self, job: Job, whole: bool, load: ports.ServerLoad) -> None:
         name = self.servers[job.server].id
         state = self.states[job.entry][name]
         took = self.now - job.sent
-        placement.note_answer(state, took, load, self.now)
+        placement.record_answer(state, took, load, self.now)
         self.rows[job.entry].append(
-            (job.key, name, placement.find_work(took, load)))
+            (job.key, name, placement.estimate_work(took, load)))
         age = self.now + self.shape.way_ms - job.born
         if not whole or age > self.shape.patience_ms:
             self._end(job, 0.0)
@@ -324,11 +325,12 @@
         works = (self.table.estimate_works(self.servers)
                  if self.shape.keyed else {})
         for name, state in self.states[entry].items():
-            state.shared_ms = works.get(name, 0.0)
-            state.reported = sum(counts[name]
-                                 for other, counts in enumerate(self.inflight)
-                                 if other != entry)
-            state.reported_at = self.now
+            state.shared_work_ms = works.get(name, 0.0)
+            state.reported_in_flight = sum(
+                counts[name]
+                for other, counts in enumerate(self.inflight)
+                if other != entry)
+            state.reported_in_flight_at = self.now
 
     def _balance(self) -> None:
         self._at(BALANCE_MS, self._balance)
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -268,18 +268,18 @@
     run.server = ''
     if isinstance(result, exchange.Gone):
         with forwarder.lock:
-            placement.note_left(state)
+            placement.record_abandoned(state)
         suspects.note_loss(forwarder, run, server, pool, False)
         return exchange.Gone(server.id, now - sent_at)
     if isinstance(result, exchange.Withheld):
         with forwarder.lock:
-            placement.note_left(state)
+            placement.record_abandoned(state)
         run.excluded_servers.add(server.id)
         late = _check_departure(forwarder, run, choice)
         return None if late is None else weighing.conclude(run, late)
     if isinstance(result, exchange.NotSent):
         with forwarder.lock:
-            placement.note_unreached(state, now)
+            placement.record_connect_failure(state, now)
         if result.reason is _Reason.CONNECT_FAILED:
             suspects.note_refused(forwarder, server)
         run.excluded_servers.add(server.id)
@@ -340,7 +340,7 @@
     with forwarder.lock:
         state = forwarder.server_states.setdefault(server.id,
                                                    placement.ServerState())
-        placement.note_sent(state)
+        placement.record_sent(state)
         pool = forwarder.pools.get(server.id)
         if pool is None:
             pool = connections.Pool(server.address,
--- a/lentilmoor/edge/picks.py
+++ b/lentilmoor/edge/picks.py
@@ -47,11 +47,11 @@
     }
     servers = [server for server in candidates if not waits_ms[server.id]]
     with forwarder.lock:
-        wish = placement.Wish(
+        wish = placement.ChoiceCriteria(
             forwarder.platform.settings.domain, run.route.large,
-            placement.mean_work(servers, forwarder.server_states))
-        choice = placement.choose(servers, forwarder.server_states, wish, now,
-                                  forwarder.generator.random)
+            placement.average_work(servers, forwarder.server_states))
+        choice = placement.choose_server(servers, forwarder.server_states, wish,
+                                         now, forwarder.generator.random)
     if choice is None and not servers and waits_ms:
         return outcomes.NotRun(
             _Reason.OVERLOADED, 'no server takes requests',
@@ -202,16 +202,18 @@
     with forwarder.lock:
         state = forwarder.server_states.setdefault(server.id,
                                                    placement.ServerState())
-        if state.avoid_until > now:
+        if state.backoff_until > now:
             return outcomes.NotRun(_Reason.NO_SERVER,
                                    'the owner of the key is down',
                                    OWNER_RETRY_MS)
-        work_ms = state.shared_ms or placement.mean_work(
+        work_ms = state.shared_work_ms or placement.average_work(
             snapshot.servers[run.service.name].values(),
             forwarder.server_states)
-        expected_ms, full = placement.expect(server, state, work_ms, now, True)
-        choice = placement.Choice(server, expected_ms, full,
-                                  placement.find_mean(state, work_ms))
+        expected_ms, full = placement.estimate_response(server, state, work_ms,
+                                                        now, True)
+        choice = placement.Choice(
+            server, expected_ms, full,
+            placement.estimate_server_work(state, work_ms))
     checked = _check_time(run, choice, now)
     if isinstance(checked, outcomes.NotRun):
         _note_refused_demand(forwarder, run, server)
@@ -232,7 +234,7 @@
 def _find_look(forwarder: requests.Forwarder, server: tables.Server) -> float:
     """Returns how long to look for another owner of a key, ms."""
     state = forwarder.server_states.get(server.id)
-    work_ms = state.shared_ms if state is not None else 0.0
+    work_ms = state.shared_work_ms if state is not None else 0.0
     return min(OWNER_WAIT_MS, max(OWNER_LOOK_MS, work_ms))
 
 
--- a/lentilmoor/edge/placement.py
+++ b/lentilmoor/edge/placement.py
@@ -20,33 +20,33 @@
 from lentilmoor.edge import workmeans
 
 # What is older than this fades, to half in so much time.
-TOLD_FRESH_MS = 1_200.0
-TOLD_HALF_MS = 1_000.0
+REPORT_FRESH_MS = 1_200.0
+REPORT_HALF_LIFE_MS = 1_000.0
 # The hub's view counts for servers whose requests take so long: reports come
 # every 250 ms and are half as old on the mean.
-SHARED_WORK_MS = 150.0
+MIN_SHARED_VIEW_WORK_MS = 150.0
 # Weight of the newest answer in the mean time of work.
-NEWEST = 0.04
+NEWEST_WEIGHT = 0.04
 # Mean time of work of a server that has not answered yet, unless others of
 # its service have, ms.
-FIRST_WORK_MS = 100.0
+DEFAULT_WORK_MS = 100.0
 # A server that could not be connected to is left alone for this long at
 # first, twice as long each time after.
-AVOID_MS = 250.0
-LONGEST_AVOID_MS = 2_000.0
+MIN_BACKOFF_MS = 250.0
+MAX_BACKOFF_MS = 2_000.0
 # Requests that servers take beyond their slots: a few; some reset the
 # connection beyond that, and what may be run only once is lost then.
-QUEUE = 6
+MAX_QUEUED_REQUESTS = 6
 # A cold server takes this many times as long.
 COLD_FACTOR = 2.0
 # Spread of the choice, so that entries with the same view differ.
-JITTER = 0.2
+JITTER_FRACTION = 0.2
 # What the way to another failure domain counts for, ms; more for large
 # answers, whose bytes between failure domains are paid for.
-AWAY_MS = 3.0
-AWAY_LARGE_MS = 25.0
+CROSS_DOMAIN_COST_MS = 3.0
+CROSS_DOMAIN_LARGE_COST_MS = 25.0
 # Part of a failure that is forgotten with each good answer.
-_HEAL = 0.8
+_FAILURE_DECAY_FACTOR = 0.8
 
 
 @dataclasses.dataclass(slots=True)
@@ -75,15 +75,15 @@
 
     inflight: int = 0
     work_ms: float = 0.0
-    answers: int = 0
-    shared_ms: float = 0.0
-    others: float = 0.0
-    told_at: float = 0.0
-    reported: float = 0.0
-    reported_at: float = 0.0
-    avoid_until: float = 0.0
-    refusals: int = 0
-    failing: float = 0.0
+    answer_count: int = 0
+    shared_work_ms: float = 0.0
+    other_in_flight: float = 0.0
+    other_in_flight_at: float = 0.0
+    reported_in_flight: float = 0.0
+    reported_in_flight_at: float = 0.0
+    backoff_until: float = 0.0
+    connect_failures: int = 0
+    failure_rate: float = 0.0
     answered_at: float = -math.inf
     checked_at: float = -math.inf
     draining_at: float | None = None
@@ -108,7 +108,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Wish:
+class ChoiceCriteria:
     """What a request asks of a choice.
 
     Attributes:
@@ -122,8 +122,9 @@
     work_ms: float
 
 
-def choose(servers: Iterable[tables.Server], states: dict[str, ServerState],
-           wish: Wish, now: float, random) -> Choice | None:
+def choose_server(servers: Iterable[tables.Server], states: dict[str,
+                                                                 ServerState],
+                  wish: ChoiceCriteria, now: float, random) -> Choice | None:
     """Returns the server with the least expected time, or None if none is up.
 
     Args:
@@ -137,26 +138,26 @@
     best_score = math.inf
     for server in servers:
         state = states.get(server.id) or _UNSEEN
-        if state.avoid_until > now:
+        if state.backoff_until > now:
             continue
-        expected, full = expect(server, state, wish.work_ms, now)
-        score = expected / (1.0 - 0.9 * state.failing)
+        expected, full = estimate_response(server, state, wish.work_ms, now)
+        score = expected / (1.0 - 0.9 * state.failure_rate)
         if server.domain != wish.domain:
-            score += AWAY_LARGE_MS if wish.large else AWAY_MS
-        score *= 1.0 + JITTER * random()
+            score += CROSS_DOMAIN_LARGE_COST_MS if wish.large else CROSS_DOMAIN_COST_MS
+        score *= 1.0 + JITTER_FRACTION * random()
         if full:
             score += 10_000.0
         if score < best_score:
-            mean = find_mean(state, wish.work_ms)
+            mean = estimate_server_work(state, wish.work_ms)
             best, best_score = Choice(server, expected, full, mean), score
     return best
 
 
-def expect(server: tables.Server,
-           state: ServerState,
-           work_ms: float,
-           now: float,
-           alone: bool = False) -> tuple[float, bool]:
+def estimate_response(server: tables.Server,
+                      state: ServerState,
+                      work_ms: float,
+                      now: float,
+                      alone: bool = False) -> tuple[float, bool]:
     """Returns the expected time to an answer, ms, and whether it is full.
 
     Args:
@@ -167,46 +168,47 @@
       alone: Whether no other server can run the request, so that entries
         can't all choose the same.
     """
-    mean = find_mean(state, work_ms)
+    mean = estimate_server_work(state, work_ms)
     if server.warm_at > now:
         mean = max(mean, work_ms * COLD_FACTOR)
     ahead = state.inflight + _count_others(state, mean, alone, now)
     waits = max(0.0, ahead + 1.0 - server.slots) / server.slots
-    return mean * (1.0 + waits), ahead >= server.slots + QUEUE
+    return mean * (1.0 + waits), ahead >= server.slots + MAX_QUEUED_REQUESTS
 
 
-def find_mean(state: ServerState, work_ms: float) -> float:
+def estimate_server_work(state: ServerState, work_ms: float) -> float:
     """Returns the mean time of work that a server is taken to have, ms.
 
     Args:
       state: What was seen of it.
       work_ms: Mean time of work of its service; 0 if unknown.
     """
-    if state.shared_ms:
-        return state.shared_ms
+    if state.shared_work_ms:
+        return state.shared_work_ms
     if not work_ms:
-        return state.work_ms or FIRST_WORK_MS
-    return workmeans.blend(state.work_ms, state.answers, NEWEST, work_ms)
+        return state.work_ms or DEFAULT_WORK_MS
+    return workmeans.blend(state.work_ms, state.answer_count, NEWEST_WEIGHT,
+                           work_ms)
 
 
 def _count_others(state: ServerState, work_ms: float, alone: bool,
                   now: float) -> float:
     """Returns about how many requests of other entries are at a server."""
-    others, told_at = state.others, state.told_at
-    shared = alone or work_ms >= SHARED_WORK_MS
-    if shared and state.reported_at > told_at:
-        others, told_at = state.reported, state.reported_at
-    stale_ms = max(0.0, now - told_at - TOLD_FRESH_MS)
-    return others * 0.5**(stale_ms / TOLD_HALF_MS)
+    others, told_at = state.other_in_flight, state.other_in_flight_at
+    shared = alone or work_ms >= MIN_SHARED_VIEW_WORK_MS
+    if shared and state.reported_in_flight_at > told_at:
+        others, told_at = state.reported_in_flight, state.reported_in_flight_at
+    stale_ms = max(0.0, now - told_at - REPORT_FRESH_MS)
+    return others * 0.5**(stale_ms / REPORT_HALF_LIFE_MS)
 
 
-def note_sent(state: ServerState) -> None:
+def record_sent(state: ServerState) -> None:
     """Counts a request in."""
     state.inflight += 1
 
 
-def note_answer(state: ServerState, took_ms: float,
-                load: ports.ServerLoad | None, now: float) -> None:
+def record_answer(state: ServerState, took_ms: float,
+                  load: ports.ServerLoad | None, now: float) -> None:
     """Takes in an answer; the request is counted out.
 
     Args:
@@ -216,24 +218,25 @@
       now: ms.
     """
     state.inflight -= 1
-    state.refusals = 0
-    state.avoid_until = 0.0
-    state.failing *= _HEAL
-    work_ms = find_work(took_ms, load)
+    state.connect_failures = 0
+    state.backoff_until = 0.0
+    state.failure_rate *= _FAILURE_DECAY_FACTOR
+    work_ms = estimate_work(took_ms, load)
     if load is not None:
-        state.others = max(0.0, load.running + load.waiting - state.inflight)
-        state.told_at = now
-    note_work(state, work_ms)
+        state.other_in_flight = max(
+            0.0, load.running + load.waiting - state.inflight)
+        state.other_in_flight_at = now
+    record_work(state, work_ms)
 
 
-def note_work(state: ServerState, work_ms: float) -> None:
+def record_work(state: ServerState, work_ms: float) -> None:
     """Takes in how long a server worked on a request, ms."""
-    state.answers += 1
-    state.work_ms = workmeans.advance(state.work_ms, state.answers, NEWEST,
-                                      work_ms)
+    state.answer_count += 1
+    state.work_ms = workmeans.advance(state.work_ms, state.answer_count,
+                                      NEWEST_WEIGHT, work_ms)
 
 
-def find_work(took_ms: float, load: ports.ServerLoad | None) -> float:
+def estimate_work(took_ms: float, load: ports.ServerLoad | None) -> float:
     """Returns about how long a server worked on a request, ms.
 
     As many requests as wait now waited before this one, on the mean.
@@ -247,7 +250,7 @@
     return took_ms / (1.0 + load.waiting / load.slots)
 
 
-def find_least_work(took_ms: float, choice: Choice) -> float:
+def estimate_min_work(took_ms: float, choice: Choice) -> float:
     """Returns how long a server has worked at least, ms, on what timed out.
 
     It waited as long for each of those before it. Without this a server that
@@ -266,7 +269,7 @@
     return took_ms * choice.work_ms / choice.expected_ms
 
 
-def note_failure(state: ServerState, now: float, full: bool) -> None:
+def record_failure(state: ServerState, now: float, full: bool) -> None:
     """Takes in a request that was turned away or lost.
 
     Args:
@@ -275,13 +278,14 @@
       full: Whether the server said it had no room.
     """
     state.inflight -= 1
-    state.failing = 1.0 - (1.0 - state.failing) * _HEAL
+    state.failure_rate = 1.0 - (1.0 -
+                                state.failure_rate) * _FAILURE_DECAY_FACTOR
     if full:
-        state.others = max(state.others, 6.0 - state.inflight)
-        state.told_at = now
+        state.other_in_flight = max(state.other_in_flight, 6.0 - state.inflight)
+        state.other_in_flight_at = now
 
 
-def note_draining(state: ServerState, now: float) -> bool:
+def record_draining(state: ServerState, now: float) -> bool:
     """Records that a server is draining; returns whether this is new."""
     if state.draining_at is not None:
         return False
@@ -289,7 +293,7 @@
     return True
 
 
-def note_pause(state: ServerState, pause_ms: float, now: float) -> bool:
+def record_pause(state: ServerState, pause_ms: float, now: float) -> bool:
     """Records a pause requested by a server, or extends the current one.
 
     Returns:
@@ -300,29 +304,30 @@
     return started
 
 
-def note_unreached(state: ServerState, now: float) -> None:
+def record_connect_failure(state: ServerState, now: float) -> None:
     """Takes in that no connection could be made."""
     state.inflight -= 1
-    state.refusals += 1
-    pause_ms = min(LONGEST_AVOID_MS, AVOID_MS * 2.0**(state.refusals - 1))
-    state.avoid_until = now + pause_ms
+    state.connect_failures += 1
+    pause_ms = min(MAX_BACKOFF_MS,
+                   MIN_BACKOFF_MS * 2.0**(state.connect_failures - 1))
+    state.backoff_until = now + pause_ms
 
 
-def note_left(state: ServerState) -> None:
+def record_abandoned(state: ServerState) -> None:
     """Counts out a request that was given up, which tells nothing."""
     state.inflight -= 1
 
 
-def mean_work(servers: Iterable[tables.Server],
-              states: dict[str, ServerState]) -> float:
+def average_work(servers: Iterable[tables.Server],
+                 states: dict[str, ServerState]) -> float:
     """Returns the mean time of work of servers, ms; 0 if none is known."""
     total = weights = 0.0
     for server in servers:
         state = states.get(server.id, _UNSEEN)
-        weight = 1 / NEWEST
-        if not state.shared_ms:
-            weight = min(state.answers, weight)
-        total += weight * (state.shared_ms or state.work_ms)
+        weight = 1 / NEWEST_WEIGHT
+        if not state.shared_work_ms:
+            weight = min(state.answer_count, weight)
+        total += weight * (state.shared_work_ms or state.work_ms)
         weights += weight
     return total / weights if weights else 0.0
 
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -368,8 +368,8 @@
         _apply_rate_limits(reporter, told)
         with forwarder.lock:
             for name, state in forwarder.server_states.items():
-                state.reported = float(reply.others.get(name, 0))
-                state.reported_at = now
+                state.reported_in_flight = float(reply.others.get(name, 0))
+                state.reported_in_flight_at = now
     forwarder.unserved_ranges = {
         name: item.unserved for name, item in coordinated.items()
     }
@@ -378,7 +378,7 @@
             for name, work_ms in item.works.items():
                 state = forwarder.server_states.setdefault(
                     name, placement.ServerState())
-                state.shared_ms = work_ms
+                state.shared_work_ms = work_ms
 
 
 def _hear_assignments(reporter: Reporter, reply: reports.Reply) -> None:
--- a/lentilmoor/edge/weighing.py
+++ b/lentilmoor/edge/weighing.py
@@ -22,12 +22,12 @@
     """Takes in a try without an answer; None if another may follow."""
     now, server = forwarder.clock.now(), choice.server
     if lost.reason is _Reason.TIMED_OUT:
-        least_ms = placement.find_least_work(took_ms, choice)
+        least_ms = placement.estimate_min_work(took_ms, choice)
         if least_ms:
-            placement.note_work(state, least_ms)
+            placement.record_work(state, least_ms)
             _note_work(forwarder, run, server, least_ms)
     with forwarder.lock:
-        placement.note_failure(state, now, False)
+        placement.record_failure(state, now, False)
     run.excluded_servers.add(server.id)
     run.may_have_run = True
     forwarder.logger.info('try_lost',
@@ -58,7 +58,7 @@
     _note_availability(forwarder, server, state, fields, now)
     if fields.not_run:
         with forwarder.lock:
-            placement.note_failure(state, now, status == 503)
+            placement.record_failure(state, now, status == 503)
         run.excluded_servers.add(server.id)
         if run.service.keyed:
             forwarder.report_now.set()
@@ -68,12 +68,12 @@
         good = False
     with forwarder.lock:
         if good:
-            placement.note_answer(state, took_ms, fields.load, now)
+            placement.record_answer(state, took_ms, fields.load, now)
         else:
-            placement.note_failure(state, now, False)
+            placement.record_failure(state, now, False)
     if good:
         _note_work(forwarder, run, server,
-                   placement.find_work(took_ms, fields.load))
+                   placement.estimate_work(took_ms, fields.load))
     if status in _SUCCESS and not fields.proven:
         run.may_have_run = True
         lost = outcomes.Unknown(_Reason.ANSWER_CUT, 'an answer without proof')
@@ -99,10 +99,10 @@
     draining_started = pause_started = False
     with forwarder.lock:
         if fields.draining:
-            draining_started = placement.note_draining(state, now)
+            draining_started = placement.record_draining(state, now)
         if fields.retry_after_ms:
-            pause_started = placement.note_pause(state, fields.retry_after_ms,
-                                                 now)
+            pause_started = placement.record_pause(state, fields.retry_after_ms,
+                                                   now)
     if draining_started:
         forwarder.logger.info('server_draining', server=server.id)
     if pause_started:
--- a/tests/test_edge_departures.py
+++ b/tests/test_edge_departures.py
@@ -103,7 +103,7 @@
 
     def test_one_that_waits_for_its_owner_is_not_sent(self):
         self.forwarder.server_states[self.after.id] = placement.ServerState(
-            shared_ms=220.0)
+            shared_work_ms=220.0)
         self._publish('nobody')
         self._leave_before_the_key_moves()
         self._assert_refused(self._forward())
@@ -112,7 +112,7 @@
     def test_one_that_waits_for_a_connection_is_not_sent(self):
         self._publish(self.after.id)
         self.forwarder.server_states[self.after.id] = placement.ServerState(
-            shared_ms=100.0)
+            shared_work_ms=100.0)
         pool = requests.connections.Pool(self.after.address,
                                          self.forwarder.rules,
                                          self.forwarder.clock)
@@ -129,7 +129,7 @@
 
     def test_one_that_was_turned_away_is_not_sent_again(self):
         self.forwarder.server_states[self.after.id] = placement.ServerState(
-            shared_ms=220.0)
+            shared_work_ms=220.0)
         self._leave_before_the_key_moves()
         self._assert_refused(self._forward())
         self.assertEqual(self.before.arrivals, 1)
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -145,7 +145,7 @@
         # Keys are released when the work on them has ended: entries asked the
         # old owner again after 60 ms, and had no tries left after 120 ms.
         self.forwarder.server_states[self.before.id] = placement.ServerState(
-            shared_ms=220.0)
+            shared_work_ms=220.0)
         threading.Timer(0.18, self._publish, (self.after.id,)).start()
         outcome = self._forward()
         self.assertIsInstance(outcome, tries.Answer)
@@ -219,7 +219,7 @@
             self.before.address, rules, self.forwarder.clock)
         state = placement.ServerState()
         self.forwarder.server_states[self.before.id] = state
-        threading.Timer(0.1, placement.note_pause,
+        threading.Timer(0.1, placement.record_pause,
                         (state, 5_000.0, self.forwarder.clock.now())).start()
         outcome = self._forward()
         self.assertIsInstance(outcome, outcomes.NotRun)
@@ -262,7 +262,7 @@
     def test_it_is_tried_again(self):
         self._publish(self.after.id)
         self.forwarder.server_states[self.after.id] = placement.ServerState(
-            work_ms=4_000.0, answers=100)
+            work_ms=4_000.0, answer_count=100)
         until = time.monotonic() + 3.0
         while time.monotonic() < until:
             if isinstance(self._forward(), tries.Answer):
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -332,8 +332,10 @@
             'x': [(1, 2)],
             'y': [(7, 9)]
         })
-        self.assertEqual(self.forwarder.server_states['s1'].shared_ms, 30.0)
-        self.assertEqual(self.forwarder.server_states['s2'].shared_ms, 70.0)
+        self.assertEqual(self.forwarder.server_states['s1'].shared_work_ms,
+                         30.0)
+        self.assertEqual(self.forwarder.server_states['s2'].shared_work_ms,
+                         70.0)
 
     def test_what_a_lost_one_told_of_its_service_is_forgotten(self):
         reporting.exchange(self.reporter)
--- a/tests/test_edge_routing.py
+++ b/tests/test_edge_routing.py
@@ -65,23 +65,30 @@
 
     def _choose(self, servers, states, **wish):
         fields = {'domain': 'd1', 'large': False, 'work_ms': 100.0} | wish
-        found = placement.choose(servers, states, placement.Wish(**fields),
-                                 1_000.0, lambda: 0.5)
+        found = placement.choose_server(servers, states,
+                                        placement.ChoiceCriteria(**fields),
+                                        1_000.0, lambda: 0.5)
         return found.server.id if found else None
 
     def test_the_server_that_is_expected_first_gets_it(self):
         servers = [_make_server('a'), _make_server('b')]
         states = {
-            'a': placement.ServerState(inflight=4, work_ms=100.0, answers=30),
-            'b': placement.ServerState(inflight=1, work_ms=150.0, answers=30)
+            'a':
+                placement.ServerState(inflight=4,
+                                      work_ms=100.0,
+                                      answer_count=30),
+            'b':
+                placement.ServerState(inflight=1,
+                                      work_ms=150.0,
+                                      answer_count=30)
         }
         self.assertEqual(self._choose(servers, states), 'b')
 
     def test_large_answers_stay_in_the_domain_while_it_costs_little(self):
         servers = [_make_server('a', 'd2'), _make_server('b', 'd1')]
         states = {
-            'a': placement.ServerState(work_ms=90.0, answers=30),
-            'b': placement.ServerState(work_ms=105.0, answers=30)
+            'a': placement.ServerState(work_ms=90.0, answer_count=30),
+            'b': placement.ServerState(work_ms=105.0, answer_count=30)
         }
         self.assertEqual(self._choose(servers, states), 'a')
         self.assertEqual(self._choose(servers, states, large=True), 'b')
@@ -89,62 +96,70 @@
     def test_a_server_that_was_not_reached_is_left_alone_for_a_while(self):
         servers = [_make_server('a')]
         state = placement.ServerState(inflight=1)
-        placement.note_unreached(state, 1_000.0)
+        placement.record_connect_failure(state, 1_000.0)
         self.assertIsNone(self._choose(servers, {'a': state}))
         self.assertEqual(state.inflight, 0)
-        first = state.avoid_until
-        placement.note_sent(state)
-        placement.note_unreached(state, 1_000.0)
-        self.assertGreater(state.avoid_until, first)
+        first = state.backoff_until
+        placement.record_sent(state)
+        placement.record_connect_failure(state, 1_000.0)
+        self.assertGreater(state.backoff_until, first)
 
     def test_a_server_that_fails_requests_is_chosen_less(self):
         servers = [_make_server('a'), _make_server('b')]
         states = {
-            'a': placement.ServerState(work_ms=50.0, answers=30),
-            'b': placement.ServerState(work_ms=100.0, answers=30)
+            'a': placement.ServerState(work_ms=50.0, answer_count=30),
+            'b': placement.ServerState(work_ms=100.0, answer_count=30)
         }
         for _ in range(10):
-            placement.note_sent(states['a'])
-            placement.note_failure(states['a'], 0.0, False)
+            placement.record_sent(states['a'])
+            placement.record_failure(states['a'], 0.0, False)
         self.assertEqual(self._choose(servers, states), 'b')
 
     def test_the_hubs_view_counts_for_long_work_and_for_owners_only(self):
         state = placement.ServerState(work_ms=60.0,
-                                      answers=30,
-                                      reported=6.0,
-                                      reported_at=1_000.0)
+                                      answer_count=30,
+                                      reported_in_flight=6.0,
+                                      reported_in_flight_at=1_000.0)
         server = _make_server('a')
-        self.assertEqual(placement.expect(server, state, 60.0, 1_000.0)[0], 60)
-        owner, _ = placement.expect(server, state, 60.0, 1_000.0, True)
+        self.assertEqual(
+            placement.estimate_response(server, state, 60.0, 1_000.0)[0], 60)
+        owner, _ = placement.estimate_response(server, state, 60.0, 1_000.0,
+                                               True)
         self.assertEqual(owner, 60.0 * 3.5)
         state.work_ms = 240.0
         self.assertGreater(
-            placement.expect(server, state, 240.0, 1_000.0)[0], 240.0)
+            placement.estimate_response(server, state, 240.0, 1_000.0)[0],
+            240.0)
 
     def test_one_long_answer_does_not_make_a_server_slow(self):
         # Entries see few answers of each server. After 1.1 s as the first one
         # they refused what a server had room for.
         state = placement.ServerState()
-        placement.note_sent(state)
-        placement.note_answer(state, 1_100.0, None, 0.0)
-        expected, full = placement.expect(_make_server('a'), state, 220.0, 0.0)
+        placement.record_sent(state)
+        placement.record_answer(state, 1_100.0, None, 0.0)
+        expected, full = placement.estimate_response(_make_server('a'), state,
+                                                     220.0, 0.0)
         self.assertFalse(full)
         self.assertLess(expected, 550.0)
         for _ in range(40):
-            placement.note_sent(state)
-            placement.note_answer(state, 400.0, None, 0.0)
-        expected, _ = placement.expect(_make_server('a'), state, 220.0, 0.0)
+            placement.record_sent(state)
+            placement.record_answer(state, 400.0, None, 0.0)
+        expected, _ = placement.estimate_response(_make_server('a'), state,
+                                                  220.0, 0.0)
         self.assertAlmostEqual(expected, 400.0, delta=20.0)
 
     def test_what_all_entries_saw_of_a_server_counts_for_more(self):
-        state = placement.ServerState(work_ms=900.0, answers=2, shared_ms=200.0)
-        expected, _ = placement.expect(_make_server('a'), state, 220.0, 0.0)
+        state = placement.ServerState(work_ms=900.0,
+                                      answer_count=2,
+                                      shared_work_ms=200.0)
+        expected, _ = placement.estimate_response(_make_server('a'), state,
+                                                  220.0, 0.0)
         self.assertEqual(expected, 200.0)
 
     def test_what_timed_out_tells_how_slow_a_server_is_at_least(self):
         choice = placement.Choice(_make_server('a'), 440.0, False, 220.0)
-        self.assertEqual(placement.find_least_work(1_400.0, choice), 700.0)
-        self.assertEqual(placement.find_least_work(400.0, choice), 0.0)
+        self.assertEqual(placement.estimate_min_work(1_400.0, choice), 700.0)
+        self.assertEqual(placement.estimate_min_work(400.0, choice), 0.0)
 
 
 class WaitingTest(unittest.TestCase):
