--- a/benchmarks/edge_model.py
+++ b/benchmarks/edge_model.py
@@ -14,13 +14,13 @@
 import math
 import random
 
+from lentilmoor.edge import admission
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import loads
 from lentilmoor.edge import placement
 from lentilmoor.edge import ports
 from lentilmoor.edge import rebalancing
 from lentilmoor.edge import tables
-from lentilmoor.edge import waiting
 
 WAY_MS = 3.0
 REPORT_MS = 250.0
@@ -242,8 +242,8 @@
             return None
         limit = (self.shape.goal_ms
                  if self.policy.refuse == 'goal' else self.shape.patience_ms)
-        return waiting.judge(
-            waiting.Prospect(expected, full, job.born + limit - self.now))
+        return admission.find_retry_after(
+            admission.WaitEstimate(expected, full, job.born + limit - self.now))
 
     def _refuse(self, job: Job, back: float) -> None:
         left = job.born + self.shape.patience_ms - self.now
@@ -289,7 +289,7 @@
     def _turned_away(self, job: Job) -> None:
         state = self.states[job.entry][self.servers[job.server].id]
         placement.record_failure(state, self.now, True)
-        self._refuse(job, waiting.SOONEST_MS)
+        self._refuse(job, admission.MIN_RETRY_AFTER_MS)
 
     def _answered(self, job: Job, whole: bool, load: ports.ServerLoad) -> None:
         name = self.servers[job.server].id
--- a/lentilmoor/edge/waiting.py
+++ b/lentilmoor/edge/admission.py
@@ -14,13 +14,13 @@
 # been worked off, but not before this part of its time has passed, and within
 # these limits: sooner it would meet the same queue, later it may have no time
 # left.
-SOONEST_MS = 40.0
-RETURN_PART = 0.15
-LATEST_MS = 1_000.0
+MIN_RETRY_AFTER_MS = 40.0
+RETRY_AFTER_FRACTION = 0.15
+MAX_RETRY_AFTER_MS = 1_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Prospect:
+class WaitEstimate:
     """What a request has to expect at a server.
 
     Attributes:
@@ -34,7 +34,7 @@
     left_ms: float
 
 
-def judge(prospect: Prospect) -> float | None:
+def find_retry_after(prospect: WaitEstimate) -> float | None:
     """Decides whether a request may wait.
 
     Args:
@@ -45,11 +45,11 @@
     """
     if not prospect.full and prospect.expected_ms <= prospect.left_ms:
         return None
-    return find_return(
+    return clamp_retry_after(
         max(prospect.expected_ms - prospect.left_ms,
-            prospect.left_ms * RETURN_PART))
+            prospect.left_ms * RETRY_AFTER_FRACTION))
 
 
-def find_return(surplus_ms: float) -> float:
+def clamp_retry_after(surplus_ms: float) -> float:
     """Returns when a refused caller is to come back, ms."""
-    return min(LATEST_MS, max(SOONEST_MS, surplus_ms))
+    return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, surplus_ms))
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -26,11 +26,11 @@
 from lentilmoor.edge import forwarding
 from lentilmoor.edge import knowledge
 from lentilmoor.edge import listening
-from lentilmoor.edge import measures
 from lentilmoor.edge import permits
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
+from lentilmoor.edge import requestmetrics
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
 from lentilmoor.edge import subscriptions
@@ -86,7 +86,7 @@
     logger: logs.Logger
     forwarder: requests.Forwarder
     count: shutdowns.RequestCount
-    measures: measures.Measures
+    measures: requestmetrics.Measures
     actor: pykka.ActorRef | None = None
     reporter: reporting.Reporter | None = None
     listeners: list[listening.Listener] = dataclasses.field(
@@ -162,7 +162,7 @@
     forwarder.permit_table = permits.make_permit_table(
         platform.settings.control, clock, logger, socket_options)
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
-                  measures.Measures(clock))
+                  requestmetrics.Measures(clock))
     owned = beliefs.Beliefs(instance)
     entry.pace = owned.pace
     entry.actor = control.Control.start(
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -11,18 +11,18 @@
 from lentilmoor import connections
 from lentilmoor import outcomes
 from lentilmoor import quarantine
-from lentilmoor.edge import budgets
+from lentilmoor.edge import attemptresults
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import matching
-from lentilmoor.edge import picks
 from lentilmoor.edge import placement
 from lentilmoor.edge import ratelimits
 from lentilmoor.edge import requests
+from lentilmoor.edge import retrybudgets
+from lentilmoor.edge import selection
 from lentilmoor.edge import staleness
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
-from lentilmoor.edge import weighing
 
 # Servers that are looked at for one request, those included that can't be
 # connected to.
@@ -79,7 +79,7 @@
     service = snapshot.configuration.services.get(name)
     if service is None:
         return outcomes.NotRun(_Reason.NO_SERVER, 'no such service',
-                               picks.FULL_RETRY_MS)
+                               selection.FULL_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
     patience_ms = request.fields.patience_ms or PATIENCE_MS
@@ -89,9 +89,9 @@
     if verdict is quarantine.Verdict.SUSPECT:
         run.is_trial = suspects.begin_trial(forwarder, request)
     with forwarder.lock:
-        budgets.note_request(_budget_of(forwarder, name),
-                             forwarder.platform.settings.bounds,
-                             request.arrived_at)
+        retrybudgets.note_request(_budget_of(forwarder, name),
+                                  forwarder.platform.settings.bounds,
+                                  request.arrived_at)
     forwarder.in_flight.add(run)
     try:
         return _carry(forwarder, run)
@@ -112,7 +112,7 @@
         left_ms = until - forwarder.clock.now()
         if left_ms <= 0:
             break
-        picks.await_change(forwarder, snapshot, left_ms)
+        selection.await_change(forwarder, snapshot, left_ms)
         snapshot = forwarder.snapshot
     return snapshot
 
@@ -164,28 +164,28 @@
            run: requests.Run) -> requests.Outcome:
     for _ in range(MOST_PICKS):
         if not _await(forwarder, run.request, requests.is_server_data_recent):
-            return weighing.conclude(run,
-                                     _refuse_outdated(forwarder, run.request))
-        choice = picks.pick(forwarder, run)
+            return attemptresults.conclude(
+                run, _refuse_outdated(forwarder, run.request))
+        choice = selection.pick(forwarder, run)
         if not isinstance(choice, placement.Choice):
-            return weighing.conclude(run, choice)
+            return attemptresults.conclude(run, choice)
         refusal = (_check_blocked(forwarder, run) or
                    _check_departure(forwarder, run, choice) or
                    _check_repeat(forwarder, run, choice))
         if refusal is not None:
-            return weighing.conclude(run, refusal)
-        refusal = picks.take_permit(forwarder, run, choice.server)
+            return attemptresults.conclude(run, refusal)
+        refusal = selection.take_permit(forwarder, run, choice.server)
         if refusal is not None:
             if run.service.keyed:
-                return weighing.conclude(run, refusal)
+                return attemptresults.conclude(run, refusal)
             continue
         result = _try(forwarder, run, choice)
         if result is not None:
             return result
-    return weighing.conclude(
+    return attemptresults.conclude(
         run,
         outcomes.NotRun(_Reason.NO_SERVER, 'no server takes the request',
-                        picks.FULL_RETRY_MS))
+                        selection.FULL_RETRY_MS))
 
 
 def _check_blocked(forwarder: requests.Forwarder,
@@ -212,7 +212,7 @@
         return None
     return outcomes.NotRun(_Reason.OVERLOADED,
                            'no repeats are left for the service',
-                           picks.FULL_RETRY_MS)
+                           selection.FULL_RETRY_MS)
 
 
 def _may_repeat(forwarder: requests.Forwarder, run: requests.Run,
@@ -224,10 +224,10 @@
     if len(run.sent_to | {choice.server.id}) > max(1, run.route.attempts):
         return False
     with forwarder.lock:
-        return budgets.take_repeat(_budget_of(forwarder, run.service.name),
-                                   forwarder.platform.settings.bounds,
-                                   max(1, len(forwarder.snapshot.entries)),
-                                   forwarder.clock.now())
+        return retrybudgets.take_repeat(_budget_of(forwarder, run.service.name),
+                                        forwarder.platform.settings.bounds,
+                                        max(1, len(forwarder.snapshot.entries)),
+                                        forwarder.clock.now())
 
 
 def _try(forwarder: requests.Forwarder, run: requests.Run,
@@ -241,7 +241,7 @@
 
     def make_headers() -> dict[str, str] | None:
         # A connection may take 0.5 s on a small machine, in which news come.
-        if (not picks.may_send(forwarder, run.service, server.id) or
+        if (not selection.may_send(forwarder, run.service, server.id) or
                 _check_departure(forwarder, run, choice) is not None or
                 _check_blocked(forwarder, run) is not None):
             return None
@@ -276,7 +276,7 @@
             placement.record_abandoned(state)
         run.excluded_servers.add(server.id)
         late = _check_departure(forwarder, run, choice)
-        return None if late is None else weighing.conclude(run, late)
+        return None if late is None else attemptresults.conclude(run, late)
     if isinstance(result, exchange.NotSent):
         with forwarder.lock:
             placement.record_connect_failure(state, now)
@@ -288,10 +288,10 @@
     if isinstance(result, outcomes.Unknown):
         suspects.note_loss(forwarder, run, server, pool, result.reason
                            is _Reason.TIMED_OUT)
-        return weighing.weigh_loss(forwarder, run, choice, state, result,
-                                   now - sent_at)
-    return weighing.weigh_answer(forwarder, run, server, state, result,
-                                 now - sent_at)
+        return attemptresults.weigh_loss(forwarder, run, choice, state, result,
+                                         now - sent_at)
+    return attemptresults.weigh_answer(forwarder, run, server, state, result,
+                                       now - sent_at)
 
 
 def _log_outdated(forwarder: requests.Forwarder, request: requests.Request,
@@ -364,6 +364,7 @@
                                most=min(forwarder.rules.most, share))
 
 
-def _budget_of(forwarder: requests.Forwarder, service: str) -> budgets.Budget:
+def _budget_of(forwarder: requests.Forwarder,
+               service: str) -> retrybudgets.Budget:
     return forwarder.retry_budgets.setdefault(
-        service, budgets.Budget(began_at=forwarder.started_at))
+        service, retrybudgets.Budget(began_at=forwarder.started_at))
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -10,7 +10,6 @@
 from lentilmoor import outcomes
 from lentilmoor import quarantine
 from lentilmoor import tries
-from lentilmoor.edge import budgets
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import matching
@@ -19,6 +18,7 @@
 from lentilmoor.edge import ports
 from lentilmoor.edge import ratelimits
 from lentilmoor.edge import reports
+from lentilmoor.edge import retrybudgets
 from lentilmoor.edge import staleness
 from lentilmoor.edge import tables
 
@@ -129,7 +129,7 @@
     server_states: dict[str, placement.ServerState] = dataclasses.field(
         default_factory=dict)
     pools: dict[str, connections.Pool] = dataclasses.field(default_factory=dict)
-    retry_budgets: dict[str, budgets.Budget] = dataclasses.field(
+    retry_budgets: dict[str, retrybudgets.Budget] = dataclasses.field(
         default_factory=dict)
     in_flight: set['Run'] = dataclasses.field(default_factory=set)
     rate_limits: ratelimits.RateLimits = dataclasses.field(
--- a/lentilmoor/edge/picks.py
+++ b/lentilmoor/edge/selection.py
@@ -7,13 +7,13 @@
 
 from lentilmoor import clocks
 from lentilmoor import outcomes
+from lentilmoor.edge import admission
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import permits
 from lentilmoor.edge import placement
 from lentilmoor.edge import ratelimits
 from lentilmoor.edge import requests
 from lentilmoor.edge import tables
-from lentilmoor.edge import waiting
 
 # How long a request waits for its key to get an owner: a little more than the
 # time in which keys are handed over.
@@ -55,7 +55,7 @@
     if choice is None and not servers and waits_ms:
         return outcomes.NotRun(
             _Reason.OVERLOADED, 'no server takes requests',
-            round(waiting.find_return(min(waits_ms.values()))))
+            round(admission.clamp_retry_after(min(waits_ms.values()))))
     if choice is None:
         return outcomes.NotRun(_Reason.NO_SERVER, 'no server is up',
                                FULL_RETRY_MS)
@@ -108,7 +108,9 @@
     left_ms = run.deadline_at - clock.now()
     return outcomes.NotRun(
         _Reason.OVERLOADED, f'{server.id} takes {limit.rate} requests a second',
-        round(waiting.find_return(max(wait_ms, left_ms * waiting.RETURN_PART))))
+        round(
+            admission.clamp_retry_after(
+                max(wait_ms, left_ms * admission.RETRY_AFTER_FRACTION))))
 
 
 def _has_left(forwarder: requests.Forwarder, server: tables.Server) -> bool:
@@ -151,9 +153,9 @@
 def _check_time(run: requests.Run, choice: placement.Choice,
                 now: float) -> placement.Choice | outcomes.NotRun:
     """Refuses at once what can't be served in time."""
-    prospect = waiting.Prospect(choice.expected_ms, choice.full,
-                                run.deadline_at - now)
-    back_ms = waiting.judge(prospect)
+    prospect = admission.WaitEstimate(choice.expected_ms, choice.full,
+                                      run.deadline_at - now)
+    back_ms = admission.find_retry_after(prospect)
     if back_ms is None:
         return choice
     return outcomes.NotRun(
@@ -181,7 +183,7 @@
             return outcomes.NotRun(
                 _Reason.OVERLOADED,
                 f'{server.id} takes no requests for {pause_left_ms:.0f} ms',
-                round(waiting.find_return(pause_left_ms)))
+                round(admission.clamp_retry_after(pause_left_ms)))
         if server is not None and not may_send(forwarder, run.service,
                                                server.id):
             server = None
@@ -193,9 +195,8 @@
                                    OWNER_RETRY_MS)
         if run.request.watch.is_gone():
             return outcomes.NotRun(
-                _Reason.CANCELLED,
-                f'waited for an owner of key {key}, sent to {run.excluded_servers}'
-            )
+                _Reason.CANCELLED, f'waited for an owner of key {key}, '
+                f'sent to {run.excluded_servers}')
         forwarder.report_now.set()
         await_change(forwarder, snapshot,
                      min(wait_until, now + OWNER_LOOK_MS) - now)
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -21,11 +21,11 @@
 from lentilmoor.edge import following
 from lentilmoor.edge import forwarding
 from lentilmoor.edge import knowledge
-from lentilmoor.edge import picks
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
+from lentilmoor.edge import selection
 from lentilmoor.edge import staleness
 from lentilmoor.edge import subscriptions
 from lentilmoor.edge import tables
@@ -193,7 +193,7 @@
 
     def would_send(self, server: str = SERVER) -> bool:
         """Returns whether it would send a server a request now."""
-        return picks.may_send(self.forwarder, _SERVICE, server)
+        return selection.may_send(self.forwarder, _SERVICE, server)
 
     def would_deny(self) -> bool:
         """Returns whether it answers 404 for the route that was added."""
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -19,11 +19,11 @@
 from lentilmoor.edge import keyloads
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import loads
-from lentilmoor.edge import measures
 from lentilmoor.edge import ports
 from lentilmoor.edge import rebalancing
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
+from lentilmoor.edge import requestmetrics
 from lentilmoor.edge import requests
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
@@ -509,7 +509,7 @@
 class MeasuresTest(unittest.TestCase):
 
     def test_counts_and_times_are_shown(self):
-        found = measures.Measures(clocks.Clock())
+        found = requestmetrics.Measures(clocks.Clock())
         found.note('answered', '200', 12.0)
         found.note('not-run', 'overloaded', 0.0)
         text = found.show({'entries': 3.0}).decode()
--- a/tests/test_edge_routing.py
+++ b/tests/test_edge_routing.py
@@ -3,12 +3,12 @@
 import random
 import unittest
 
-from lentilmoor.edge import budgets
+from lentilmoor.edge import admission
 from lentilmoor.edge import matching
 from lentilmoor.edge import placement
 from lentilmoor.edge import ports
+from lentilmoor.edge import retrybudgets
 from lentilmoor.edge import tables
-from lentilmoor.edge import waiting
 
 _BOUNDS = ports.Bounds(2_000.0, 6_000.0, 0.2, 60.0, 10_000.0, 10_000.0)
 
@@ -165,24 +165,33 @@
 class WaitingTest(unittest.TestCase):
 
     def test_what_can_be_answered_in_time_may_wait(self):
-        self.assertIsNone(waiting.judge(waiting.Prospect(400.0, False, 450.0)))
+        self.assertIsNone(
+            admission.find_retry_after(
+                admission.WaitEstimate(400.0, False, 450.0)))
 
     def test_work_that_takes_longer_than_its_goal_is_no_reason_to_refuse(self):
         # A limit by the goal turned all requests of such a service away.
         goal_ms, work_ms = 250.0, 800.0
         self.assertGreater(work_ms, goal_ms)
         self.assertIsNone(
-            waiting.judge(waiting.Prospect(work_ms, False, 2_000.0)))
+            admission.find_retry_after(
+                admission.WaitEstimate(work_ms, False, 2_000.0)))
 
     def test_what_cannot_is_told_when_to_come_back(self):
-        back = waiting.judge(waiting.Prospect(900.0, False, 450.0))
+        back = admission.find_retry_after(
+            admission.WaitEstimate(900.0, False, 450.0))
         self.assertEqual(back, 450.0)
-        self.assertEqual(waiting.judge(waiting.Prospect(100.0, True, 1_000.0)),
-                         1_000.0 * waiting.RETURN_PART)
-        self.assertEqual(waiting.judge(waiting.Prospect(20.0, True, 25.0)),
-                         waiting.SOONEST_MS)
-        self.assertEqual(waiting.judge(waiting.Prospect(1e6, False, 450.0)),
-                         waiting.LATEST_MS)
+        self.assertEqual(
+            admission.find_retry_after(
+                admission.WaitEstimate(100.0, True, 1_000.0)),
+            1_000.0 * admission.RETRY_AFTER_FRACTION)
+        self.assertEqual(
+            admission.find_retry_after(admission.WaitEstimate(20.0, True,
+                                                              25.0)),
+            admission.MIN_RETRY_AFTER_MS)
+        self.assertEqual(
+            admission.find_retry_after(admission.WaitEstimate(
+                1e6, False, 450.0)), admission.MAX_RETRY_AFTER_MS)
 
 
 class BudgetTest(unittest.TestCase):
@@ -196,38 +205,39 @@
 
     def test_all_entries_together_stay_within_what_is_allowed(self):
         # 12 entries, one of which gets most of the requests; all repeat all.
-        entries = [budgets.Budget() for _ in range(12)]
+        entries = [retrybudgets.Budget() for _ in range(12)]
         draw = random.Random(3)
         asked, taken = [], []
         for now in range(0, 40_000, 5):
             index = min(11, int(draw.expovariate(0.5)))
-            budgets.note_request(entries[index], _BOUNDS, now)
+            retrybudgets.note_request(entries[index], _BOUNDS, now)
             asked.append(now)
             for _ in range(2):
-                if budgets.take_repeat(entries[index], _BOUNDS, 12, now):
+                if retrybudgets.take_repeat(entries[index], _BOUNDS, 12, now):
                     taken.append(now)
         self._check_windows(asked, taken)
         self.assertGreater(len(taken), 0.1 * len(asked))
 
     def test_entries_that_start_again_do_not_repeat_more(self):
         # All of 12 entries are killed each 4 s; all repeat all.
-        entries: list[budgets.Budget] = []
+        entries: list[retrybudgets.Budget] = []
         asked, taken = [], []
         for now in range(0, 40_000, 50):
             if now % 4_000 == 0:
-                entries = [budgets.Budget(began_at=now) for _ in range(12)]
+                entries = [retrybudgets.Budget(began_at=now) for _ in range(12)]
             budget = entries[now // 50 % 12]
-            budgets.note_request(budget, _BOUNDS, now)
+            retrybudgets.note_request(budget, _BOUNDS, now)
             asked.append(now)
-            if budgets.take_repeat(budget, _BOUNDS, 12, now):
+            if retrybudgets.take_repeat(budget, _BOUNDS, 12, now):
                 taken.append(now)
         self._check_windows(asked, taken)
         self.assertGreater(len(taken), 0.05 * len(asked))
 
     def test_a_service_without_requests_keeps_its_fixed_part(self):
-        budget = budgets.Budget()
+        budget = retrybudgets.Budget()
         taken = sum(
-            budgets.take_repeat(budget, _BOUNDS, 12, 0.0) for _ in range(100))
+            retrybudgets.take_repeat(budget, _BOUNDS, 12, 0.0)
+            for _ in range(100))
         self.assertEqual(taken, 4)
 
 
