--- a/lentilmoor/edge/attemptresults.py
+++ b/lentilmoor/edge/attemptresults.py
@@ -9,16 +9,16 @@
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
 
-_SERVER_FAULT = 500
-_SUCCESS = range(200, 300)
+_MIN_SERVER_ERROR = 500
+_SUCCESS_STATUSES = range(200, 300)
 
 _Reason = outcomes.Reason
 
 
-def weigh_loss(forwarder: requests.Forwarder, run: requests.Run,
-               choice: placement.Choice, state: placement.ServerState,
-               lost: outcomes.Unknown,
-               took_ms: float) -> requests.Outcome | None:
+def handle_loss(forwarder: requests.Forwarder, run: requests.Run,
+                choice: placement.Choice, state: placement.ServerState,
+                lost: outcomes.Unknown,
+                took_ms: float) -> requests.Outcome | None:
     """Takes in a try without an answer; None if another may follow."""
     now, server = forwarder.clock.now(), choice.server
     if lost.reason is _Reason.TIMED_OUT:
@@ -43,10 +43,10 @@
     return None
 
 
-def weigh_answer(forwarder: requests.Forwarder, run: requests.Run,
-                 server: tables.Server, state: placement.ServerState,
-                 reply: exchange.Reply,
-                 took_ms: float) -> requests.Outcome | None:
+def handle_answer(forwarder: requests.Forwarder, run: requests.Run,
+                  server: tables.Server, state: placement.ServerState,
+                  reply: exchange.Reply,
+                  took_ms: float) -> requests.Outcome | None:
     """Takes in an answer; None if another try may follow."""
     now = forwarder.clock.now()
     status, fields = reply.answer.status, reply.fields
@@ -63,8 +63,8 @@
         if run.service.keyed:
             forwarder.report_now.set()
         return None
-    good = status < _SERVER_FAULT
-    if status in _SUCCESS and not fields.proven:
+    good = status < _MIN_SERVER_ERROR
+    if status in _SUCCESS_STATUSES and not fields.proven:
         good = False
     with forwarder.lock:
         if good:
@@ -74,7 +74,7 @@
     if good:
         _note_work(forwarder, run, server,
                    placement.estimate_work(took_ms, fields.load))
-    if status in _SUCCESS and not fields.proven:
+    if status in _SUCCESS_STATUSES and not fields.proven:
         run.may_have_run = True
         lost = outcomes.Unknown(_Reason.ANSWER_CUT, 'an answer without proof')
         return None if run.idempotent else lost
@@ -119,7 +119,8 @@
                             work_ms))
 
 
-def conclude(run: requests.Run, refusal: outcomes.NotRun) -> requests.Outcome:
+def find_outcome(run: requests.Run,
+                 refusal: outcomes.NotRun) -> requests.Outcome:
     """Returns the outcome of a request for which no try is left.
 
     A refusal says that the request has not run; where it may have, the caller
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -86,7 +86,7 @@
     logger: logs.Logger
     forwarder: requests.Forwarder
     count: shutdowns.RequestCount
-    measures: requestmetrics.Measures
+    measures: requestmetrics.RequestMetrics
     actor: pykka.ActorRef | None = None
     reporter: reporting.Reporter | None = None
     listeners: list[listening.Listener] = dataclasses.field(
@@ -162,7 +162,7 @@
     forwarder.permit_table = permits.make_permit_table(
         platform.settings.control, clock, logger, socket_options)
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
-                  requestmetrics.Measures(clock))
+                  requestmetrics.RequestMetrics(clock))
     owned = beliefs.Beliefs(instance)
     entry.pace = owned.pace
     entry.actor = control.Control.start(
@@ -287,7 +287,7 @@
     }
     calls = entry.platform.store.count_calls()
     gauges |= {f'store_calls_{kind}': float(calls[kind]) for kind in calls}
-    return 200, entry.measures.show(gauges), 'text/plain; version=0.0.4'
+    return 200, entry.measures.render(gauges), 'text/plain; version=0.0.4'
 
 
 def _find_limits(entry: Entry) -> tables.CallerLimits:
@@ -302,10 +302,10 @@
     """Writes a line for a request that no server answered."""
     age_ms = round(entry.clock.now() - request.arrived_at)
     if isinstance(outcome, tries.Answer):
-        entry.measures.note('answered', str(outcome.status), age_ms)
+        entry.measures.record('answered', str(outcome.status), age_ms)
         return
     if isinstance(outcome, exchange.Gone):
-        entry.measures.note('left', 'caller-left', age_ms)
+        entry.measures.record('left', 'caller-left', age_ms)
         entry.logger.info('caller_left',
                           request=request.fields.request_id,
                           where=outcome.where,
@@ -313,8 +313,8 @@
                           age_ms=age_ms)
         return
     refused = isinstance(outcome, outcomes.NotRun)
-    entry.measures.note('not-run' if refused else 'unknown',
-                        outcome.reason.value, age_ms)
+    entry.measures.record('not-run' if refused else 'unknown',
+                          outcome.reason.value, age_ms)
     entry.logger.info('request_refused' if refused else 'request_failed',
                       request=request.fields.request_id,
                       reason=outcome.reason.value,
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -74,12 +74,12 @@
     verdict = suspects.check(forwarder, request)
     if verdict is quarantine.Verdict.BLOCKED:
         return suspects.refuse()
-    name = matching.pick_part(route, forwarder.generator.random())
+    name = matching.pick_service(route, forwarder.generator.random())
     snapshot = forwarder.snapshot
     service = snapshot.configuration.services.get(name)
     if service is None:
         return outcomes.NotRun(_Reason.NO_SERVER, 'no such service',
-                               selection.FULL_RETRY_MS)
+                               selection.SERVICE_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
     patience_ms = request.fields.patience_ms or PATIENCE_MS
@@ -89,9 +89,9 @@
     if verdict is quarantine.Verdict.SUSPECT:
         run.is_trial = suspects.begin_trial(forwarder, request)
     with forwarder.lock:
-        retrybudgets.note_request(_budget_of(forwarder, name),
-                                  forwarder.platform.settings.bounds,
-                                  request.arrived_at)
+        retrybudgets.record_request(_budget_of(forwarder, name),
+                                    forwarder.platform.settings.bounds,
+                                    request.arrived_at)
     forwarder.in_flight.add(run)
     try:
         return _carry(forwarder, run)
@@ -112,7 +112,7 @@
         left_ms = until - forwarder.clock.now()
         if left_ms <= 0:
             break
-        selection.await_change(forwarder, snapshot, left_ms)
+        selection.await_snapshot(forwarder, snapshot, left_ms)
         snapshot = forwarder.snapshot
     return snapshot
 
@@ -164,28 +164,28 @@
            run: requests.Run) -> requests.Outcome:
     for _ in range(MOST_PICKS):
         if not _await(forwarder, run.request, requests.is_server_data_recent):
-            return attemptresults.conclude(
+            return attemptresults.find_outcome(
                 run, _refuse_outdated(forwarder, run.request))
-        choice = selection.pick(forwarder, run)
+        choice = selection.select_server(forwarder, run)
         if not isinstance(choice, placement.Choice):
-            return attemptresults.conclude(run, choice)
+            return attemptresults.find_outcome(run, choice)
         refusal = (_check_blocked(forwarder, run) or
                    _check_departure(forwarder, run, choice) or
                    _check_repeat(forwarder, run, choice))
         if refusal is not None:
-            return attemptresults.conclude(run, refusal)
+            return attemptresults.find_outcome(run, refusal)
         refusal = selection.take_permit(forwarder, run, choice.server)
         if refusal is not None:
             if run.service.keyed:
-                return attemptresults.conclude(run, refusal)
+                return attemptresults.find_outcome(run, refusal)
             continue
         result = _try(forwarder, run, choice)
         if result is not None:
             return result
-    return attemptresults.conclude(
+    return attemptresults.find_outcome(
         run,
         outcomes.NotRun(_Reason.NO_SERVER, 'no server takes the request',
-                        selection.FULL_RETRY_MS))
+                        selection.SERVICE_RETRY_MS))
 
 
 def _check_blocked(forwarder: requests.Forwarder,
@@ -212,7 +212,7 @@
         return None
     return outcomes.NotRun(_Reason.OVERLOADED,
                            'no repeats are left for the service',
-                           selection.FULL_RETRY_MS)
+                           selection.SERVICE_RETRY_MS)
 
 
 def _may_repeat(forwarder: requests.Forwarder, run: requests.Run,
@@ -224,10 +224,10 @@
     if len(run.sent_to | {choice.server.id}) > max(1, run.route.attempts):
         return False
     with forwarder.lock:
-        return retrybudgets.take_repeat(_budget_of(forwarder, run.service.name),
-                                        forwarder.platform.settings.bounds,
-                                        max(1, len(forwarder.snapshot.entries)),
-                                        forwarder.clock.now())
+        return retrybudgets.take_retry(_budget_of(forwarder, run.service.name),
+                                       forwarder.platform.settings.bounds,
+                                       max(1, len(forwarder.snapshot.entries)),
+                                       forwarder.clock.now())
 
 
 def _try(forwarder: requests.Forwarder, run: requests.Run,
@@ -276,7 +276,7 @@
             placement.record_abandoned(state)
         run.excluded_servers.add(server.id)
         late = _check_departure(forwarder, run, choice)
-        return None if late is None else attemptresults.conclude(run, late)
+        return None if late is None else attemptresults.find_outcome(run, late)
     if isinstance(result, exchange.NotSent):
         with forwarder.lock:
             placement.record_connect_failure(state, now)
@@ -288,10 +288,10 @@
     if isinstance(result, outcomes.Unknown):
         suspects.note_loss(forwarder, run, server, pool, result.reason
                            is _Reason.TIMED_OUT)
-        return attemptresults.weigh_loss(forwarder, run, choice, state, result,
-                                         now - sent_at)
-    return attemptresults.weigh_answer(forwarder, run, server, state, result,
-                                       now - sent_at)
+        return attemptresults.handle_loss(forwarder, run, choice, state, result,
+                                          now - sent_at)
+    return attemptresults.handle_answer(forwarder, run, server, state, result,
+                                        now - sent_at)
 
 
 def _log_outdated(forwarder: requests.Forwarder, request: requests.Request,
@@ -365,6 +365,6 @@
 
 
 def _budget_of(forwarder: requests.Forwarder,
-               service: str) -> retrybudgets.Budget:
+               service: str) -> retrybudgets.RetryBudget:
     return forwarder.retry_budgets.setdefault(
-        service, retrybudgets.Budget(began_at=forwarder.started_at))
+        service, retrybudgets.RetryBudget(started_at=forwarder.started_at))
--- a/lentilmoor/edge/matching.py
+++ b/lentilmoor/edge/matching.py
@@ -15,7 +15,7 @@
 class RouteIndex:
     """Routes by host and prefix."""
 
-    rows: Mapping[tuple[str, str], tables.Route]
+    routes: Mapping[tuple[str, str], tables.Route]
 
 
 def make_index(routes: Mapping[str, tables.Route]) -> RouteIndex:
@@ -38,13 +38,13 @@
         name = name.rpartition(':')[0] or name
     end = len(path)
     while (end := path.rfind('/', 0, end)) >= 0:
-        route = index.rows.get((name, path[:end + 1]))
+        route = index.routes.get((name, path[:end + 1]))
         if route is not None:
             return route
     return None
 
 
-def pick_part(route: tables.Route, chance: float) -> str:
+def pick_service(route: tables.Route, chance: float) -> str:
     """Returns the service that a request of a route goes to.
 
     Args:
--- a/lentilmoor/edge/requestmetrics.py
+++ b/lentilmoor/edge/requestmetrics.py
@@ -9,23 +9,23 @@
 
 from lentilmoor import clocks
 
-_MOST_TIMES = 20_000
+_MAX_TIMES = 20_000
 
 
-class Measures:
+class RequestMetrics:
     """Counts by outcome and reason, and times by outcome."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._counts: collections.Counter = collections.Counter()
-        self._times: collections.deque = collections.deque(maxlen=_MOST_TIMES)
+        self._times: collections.deque = collections.deque(maxlen=_MAX_TIMES)
         self._lock = threading.Lock()
         self._registry = None
         self._requests = None
         self._request_ms = None
         self._gauges: dict = {}
 
-    def note(self, outcome: str, reason: str, ms: float) -> None:
+    def record(self, outcome: str, reason: str, ms: float) -> None:
         """Counts a request.
 
         Args:
@@ -37,7 +37,7 @@
             self._counts[outcome, reason] += 1
             self._times.append((outcome, ms))
 
-    def show(self, gauges: dict[str, float]) -> bytes:
+    def render(self, gauges: dict[str, float]) -> bytes:
         """Returns the metrics in the Prometheus text form.
 
         Args:
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -129,7 +129,7 @@
     server_states: dict[str, placement.ServerState] = dataclasses.field(
         default_factory=dict)
     pools: dict[str, connections.Pool] = dataclasses.field(default_factory=dict)
-    retry_budgets: dict[str, retrybudgets.Budget] = dataclasses.field(
+    retry_budgets: dict[str, retrybudgets.RetryBudget] = dataclasses.field(
         default_factory=dict)
     in_flight: set['Run'] = dataclasses.field(default_factory=set)
     rate_limits: ratelimits.RateLimits = dataclasses.field(
--- a/lentilmoor/edge/retrybudgets.py
+++ b/lentilmoor/edge/retrybudgets.py
@@ -13,21 +13,21 @@
 
 # Part of what is allowed that is used; the rest covers entries that count
 # differently at the edges of a window.
-USED_PART = 0.8
-_STEP_MS = 500.0
+USED_FRACTION = 0.8
+_BUCKET_MS = 500.0
 
 
 @dataclasses.dataclass(slots=True)
-class Step:
+class TimeBucket:
     """Counts of one step of the window."""
 
     number: int
     requests: int = 0
-    repeats: int = 0
+    retries: int = 0
 
 
 @dataclasses.dataclass(slots=True)
-class Budget:
+class RetryBudget:
     """Requests and repeats to one service within the window.
 
     Attributes:
@@ -35,18 +35,19 @@
       began_at: When the entry started, ms.
     """
 
-    steps: collections.deque[Step] = dataclasses.field(
+    buckets: collections.deque[TimeBucket] = dataclasses.field(
         default_factory=collections.deque)
-    began_at: float = -math.inf
+    started_at: float = -math.inf
 
 
-def note_request(budget: Budget, bounds: ports.Bounds, now: float) -> None:
+def record_request(budget: RetryBudget, bounds: ports.Bounds,
+                   now: float) -> None:
     """Counts a caller's request for the service."""
-    _current(budget, bounds, now).requests += 1
+    _find_bucket(budget, bounds, now).requests += 1
 
 
-def take_repeat(budget: Budget, bounds: ports.Bounds, entries: int,
-                now: float) -> bool:
+def take_retry(budget: RetryBudget, bounds: ports.Bounds, entries: int,
+               now: float) -> bool:
     """Takes a repeat from the budget, if there is one left.
 
     Args:
@@ -55,25 +56,26 @@
       entries: Entries that share the fixed part.
       now: ms.
     """
-    step = _current(budget, bounds, now)
-    requests = sum(item.requests for item in budget.steps)
-    repeats = sum(item.repeats for item in budget.steps)
+    step = _find_bucket(budget, bounds, now)
+    requests = sum(item.requests for item in budget.buckets)
+    repeats = sum(item.retries for item in budget.buckets)
     fixed = bounds.retry_slack / max(1, entries)
-    if now < budget.began_at + bounds.retry_window_ms:
+    if now < budget.started_at + bounds.retry_window_ms:
         # An earlier process of this entry may have used it.
         fixed = 0.0
-    allowed = USED_PART * (bounds.retry_ratio * requests + fixed)
+    allowed = USED_FRACTION * (bounds.retry_ratio * requests + fixed)
     if repeats + 1 > allowed:
         return False
-    step.repeats += 1
+    step.retries += 1
     return True
 
 
-def _current(budget: Budget, bounds: ports.Bounds, now: float) -> Step:
-    number = int(now // _STEP_MS)
-    oldest = number - int(bounds.retry_window_ms // _STEP_MS)
-    while budget.steps and budget.steps[0].number < oldest:
-        budget.steps.popleft()
-    if not budget.steps or budget.steps[-1].number != number:
-        budget.steps.append(Step(number))
-    return budget.steps[-1]
+def _find_bucket(budget: RetryBudget, bounds: ports.Bounds,
+                 now: float) -> TimeBucket:
+    number = int(now // _BUCKET_MS)
+    oldest = number - int(bounds.retry_window_ms // _BUCKET_MS)
+    while budget.buckets and budget.buckets[0].number < oldest:
+        budget.buckets.popleft()
+    if not budget.buckets or budget.buckets[-1].number != number:
+        budget.buckets.append(TimeBucket(number))
+    return budget.buckets[-1]
--- a/lentilmoor/edge/selection.py
+++ b/lentilmoor/edge/selection.py
@@ -17,30 +17,30 @@
 
 # How long a request waits for its key to get an owner: a little more than the
 # time in which keys are handed over.
-OWNER_WAIT_MS = 400.0
+MAX_OWNER_WAIT_MS = 400.0
 # How long a request waits at least after the owner of its key said that it
 # isn't, if no other owner is known yet. Keys are released when the work that
 # runs on them has ended, so it is the server's time of work where that is more.
-OWNER_LOOK_MS = 60.0
+MIN_OWNER_WAIT_MS = 60.0
 # Times to come back, ms: after a service was full, and after a key had no
 # owner.
-FULL_RETRY_MS = 120
+SERVICE_RETRY_MS = 120
 OWNER_RETRY_MS = 200
 
 _Reason = outcomes.Reason
 
 
-def pick(forwarder: requests.Forwarder,
-         run: requests.Run) -> placement.Choice | outcomes.NotRun:
+def select_server(forwarder: requests.Forwarder,
+                  run: requests.Run) -> placement.Choice | outcomes.NotRun:
     """Returns where the next try of a request goes, or why there is none."""
     if run.service.keyed:
-        return _pick_owner(forwarder, run)
+        return _select_owner(forwarder, run)
     now = forwarder.clock.now()
     candidates = [
         server for server in forwarder.snapshot.servers.get(
             run.service.name, {}).values()
         if _find_draining_at(forwarder, server) is None and server.id not in
-        run.excluded_servers and not _has_left(forwarder, server)
+        run.excluded_servers and not _is_past_drain(forwarder, server)
     ]
     waits_ms = {
         server.id: _find_wait(forwarder, server, now) for server in candidates
@@ -58,8 +58,8 @@
             round(admission.clamp_retry_after(min(waits_ms.values()))))
     if choice is None:
         return outcomes.NotRun(_Reason.NO_SERVER, 'no server is up',
-                               FULL_RETRY_MS)
-    return _check_time(run, choice, now)
+                               SERVICE_RETRY_MS)
+    return _check_admission(run, choice, now)
 
 
 def may_send(forwarder: requests.Forwarder, service: tables.Service,
@@ -73,11 +73,12 @@
     if not requests.is_server_data_recent(forwarder):
         return False
     server = forwarder.snapshot.servers.get(service.name, {}).get(server_id)
-    if server is None or _find_pause(forwarder, server, forwarder.clock.now()):
+    if server is None or _find_pause_left(forwarder, server,
+                                          forwarder.clock.now()):
         return False
     if not service.keyed and _find_draining_at(forwarder, server) is not None:
         return False
-    return not _has_left(forwarder, server)
+    return not _is_past_drain(forwarder, server)
 
 
 def take_permit(forwarder: requests.Forwarder, run: requests.Run,
@@ -104,7 +105,7 @@
                                clock.now())
     run.excluded_servers.add(server.id)
     if run.service.keyed:
-        _note_refused_demand(forwarder, run, server)
+        _record_refused_demand(forwarder, run, server)
     left_ms = run.deadline_at - clock.now()
     return outcomes.NotRun(
         _Reason.OVERLOADED, f'{server.id} takes {limit.rate} requests a second',
@@ -113,7 +114,8 @@
                 max(wait_ms, left_ms * admission.RETRY_AFTER_FRACTION))))
 
 
-def _has_left(forwarder: requests.Forwarder, server: tables.Server) -> bool:
+def _is_past_drain(forwarder: requests.Forwarder,
+                   server: tables.Server) -> bool:
     """Returns whether a server that leaves may be sent nothing any more."""
     times = (server.leaves_at, _find_draining_at(forwarder, server))
     leaves_at = min((at for at in times if at is not None), default=None)
@@ -139,19 +141,19 @@
 def _find_wait(forwarder: requests.Forwarder, server: tables.Server,
                now: float) -> float:
     """Returns the time until a pause or a rate limit allows requests, ms."""
-    return max(_find_pause(forwarder, server, now),
+    return max(_find_pause_left(forwarder, server, now),
                ratelimits.find_wait(forwarder.rate_limits, server.id, now))
 
 
-def _find_pause(forwarder: requests.Forwarder, server: tables.Server,
-                now: float) -> float:
+def _find_pause_left(forwarder: requests.Forwarder, server: tables.Server,
+                     now: float) -> float:
     """Returns the time left of the pause that a server requested, ms."""
     state = forwarder.server_states.get(server.id)
     return 0.0 if state is None else max(0.0, state.paused_until - now)
 
 
-def _check_time(run: requests.Run, choice: placement.Choice,
-                now: float) -> placement.Choice | outcomes.NotRun:
+def _check_admission(run: requests.Run, choice: placement.Choice,
+                     now: float) -> placement.Choice | outcomes.NotRun:
     """Refuses at once what can't be served in time."""
     prospect = admission.WaitEstimate(choice.expected_ms, choice.full,
                                       run.deadline_at - now)
@@ -164,12 +166,12 @@
         (', and is full' if choice.full else ''), round(back_ms))
 
 
-def _pick_owner(forwarder: requests.Forwarder,
-                run: requests.Run) -> placement.Choice | outcomes.NotRun:
+def _select_owner(forwarder: requests.Forwarder,
+                  run: requests.Run) -> placement.Choice | outcomes.NotRun:
     """Finds the owner of the request's key; waits a little for a new one."""
     key = run.request.fields.key
     began = forwarder.clock.now()
-    wait_until = min(run.deadline_at, began + OWNER_WAIT_MS)
+    wait_until = min(run.deadline_at, began + MAX_OWNER_WAIT_MS)
     if _is_unserved(forwarder, run.service.name, key):
         return outcomes.NotRun(_Reason.NO_OWNER, 'no server holds the key now',
                                OWNER_RETRY_MS)
@@ -177,9 +179,10 @@
         snapshot = forwarder.snapshot
         server = _find_owner(snapshot, run.service.name, key)
         now = forwarder.clock.now()
-        pause_left_ms = _find_pause(forwarder, server, now) if server else 0.0
+        pause_left_ms = _find_pause_left(forwarder, server,
+                                         now) if server else 0.0
         if pause_left_ms:
-            _note_refused_demand(forwarder, run, server)
+            _record_refused_demand(forwarder, run, server)
             return outcomes.NotRun(
                 _Reason.OVERLOADED,
                 f'{server.id} takes no requests for {pause_left_ms:.0f} ms',
@@ -187,8 +190,9 @@
         if server is not None and not may_send(forwarder, run.service,
                                                server.id):
             server = None
-        if server is not None and (server.id not in run.excluded_servers or now
-                                   >= began + _find_look(forwarder, server)):
+        if server is not None and (server.id not in run.excluded_servers or
+                                   now >= began +
+                                   _find_min_owner_wait(forwarder, server)):
             break
         if now >= wait_until:
             return outcomes.NotRun(_Reason.NO_OWNER, 'the key has no owner',
@@ -198,8 +202,8 @@
                 _Reason.CANCELLED, f'waited for an owner of key {key}, '
                 f'sent to {run.excluded_servers}')
         forwarder.report_now.set()
-        await_change(forwarder, snapshot,
-                     min(wait_until, now + OWNER_LOOK_MS) - now)
+        await_snapshot(forwarder, snapshot,
+                       min(wait_until, now + MIN_OWNER_WAIT_MS) - now)
     with forwarder.lock:
         state = forwarder.server_states.setdefault(server.id,
                                                    placement.ServerState())
@@ -215,14 +219,14 @@
         choice = placement.Choice(
             server, expected_ms, full,
             placement.estimate_server_work(state, work_ms))
-    checked = _check_time(run, choice, now)
+    checked = _check_admission(run, choice, now)
     if isinstance(checked, outcomes.NotRun):
-        _note_refused_demand(forwarder, run, server)
+        _record_refused_demand(forwarder, run, server)
     return checked
 
 
-def _note_refused_demand(forwarder: requests.Forwarder, run: requests.Run,
-                         server: tables.Server) -> None:
+def _record_refused_demand(forwarder: requests.Forwarder, run: requests.Run,
+                           server: tables.Server) -> None:
     """Reports a refused request as demand.
 
     The coordinator can then move its key to another server.
@@ -232,11 +236,12 @@
                         0.0))
 
 
-def _find_look(forwarder: requests.Forwarder, server: tables.Server) -> float:
+def _find_min_owner_wait(forwarder: requests.Forwarder,
+                         server: tables.Server) -> float:
     """Returns how long to look for another owner of a key, ms."""
     state = forwarder.server_states.get(server.id)
     work_ms = state.shared_work_ms if state is not None else 0.0
-    return min(OWNER_WAIT_MS, max(OWNER_LOOK_MS, work_ms))
+    return min(MAX_OWNER_WAIT_MS, max(MIN_OWNER_WAIT_MS, work_ms))
 
 
 def _is_unserved(forwarder: requests.Forwarder, service: str, key: int) -> bool:
@@ -255,8 +260,8 @@
     return snapshot.servers.get(service, {}).get(found.server)
 
 
-def await_change(forwarder: requests.Forwarder, seen: tables.Snapshot,
-                 wait_ms: float) -> None:
+def await_snapshot(forwarder: requests.Forwarder, seen: tables.Snapshot,
+                   wait_ms: float) -> None:
     """Waits until another snapshot has replaced one, or a time is over.
 
     Args:
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -509,10 +509,10 @@
 class MeasuresTest(unittest.TestCase):
 
     def test_counts_and_times_are_shown(self):
-        found = requestmetrics.Measures(clocks.Clock())
-        found.note('answered', '200', 12.0)
-        found.note('not-run', 'overloaded', 0.0)
-        text = found.show({'entries': 3.0}).decode()
+        found = requestmetrics.RequestMetrics(clocks.Clock())
+        found.record('answered', '200', 12.0)
+        found.record('not-run', 'overloaded', 0.0)
+        text = found.render({'entries': 3.0}).decode()
         self.assertIn(
             'lentilmoor_requests_total{outcome="answered",reason="200"} 1.0',
             text)
--- a/tests/test_edge_routing.py
+++ b/tests/test_edge_routing.py
@@ -55,7 +55,7 @@
                             ('z', 0.0))
         draw = random.Random(1)
         picks = [
-            matching.pick_part(route, draw.random()) for _ in range(10_000)
+            matching.pick_service(route, draw.random()) for _ in range(10_000)
         ]
         self.assertAlmostEqual(picks.count('x') / 10_000, 0.9, delta=0.01)
         self.assertEqual(picks.count('z'), 0)
@@ -205,38 +205,40 @@
 
     def test_all_entries_together_stay_within_what_is_allowed(self):
         # 12 entries, one of which gets most of the requests; all repeat all.
-        entries = [retrybudgets.Budget() for _ in range(12)]
+        entries = [retrybudgets.RetryBudget() for _ in range(12)]
         draw = random.Random(3)
         asked, taken = [], []
         for now in range(0, 40_000, 5):
             index = min(11, int(draw.expovariate(0.5)))
-            retrybudgets.note_request(entries[index], _BOUNDS, now)
+            retrybudgets.record_request(entries[index], _BOUNDS, now)
             asked.append(now)
             for _ in range(2):
-                if retrybudgets.take_repeat(entries[index], _BOUNDS, 12, now):
+                if retrybudgets.take_retry(entries[index], _BOUNDS, 12, now):
                     taken.append(now)
         self._check_windows(asked, taken)
         self.assertGreater(len(taken), 0.1 * len(asked))
 
     def test_entries_that_start_again_do_not_repeat_more(self):
         # All of 12 entries are killed each 4 s; all repeat all.
-        entries: list[retrybudgets.Budget] = []
+        entries: list[retrybudgets.RetryBudget] = []
         asked, taken = [], []
         for now in range(0, 40_000, 50):
             if now % 4_000 == 0:
-                entries = [retrybudgets.Budget(began_at=now) for _ in range(12)]
+                entries = [
+                    retrybudgets.RetryBudget(started_at=now) for _ in range(12)
+                ]
             budget = entries[now // 50 % 12]
-            retrybudgets.note_request(budget, _BOUNDS, now)
+            retrybudgets.record_request(budget, _BOUNDS, now)
             asked.append(now)
-            if retrybudgets.take_repeat(budget, _BOUNDS, 12, now):
+            if retrybudgets.take_retry(budget, _BOUNDS, 12, now):
                 taken.append(now)
         self._check_windows(asked, taken)
         self.assertGreater(len(taken), 0.05 * len(asked))
 
     def test_a_service_without_requests_keeps_its_fixed_part(self):
-        budget = retrybudgets.Budget()
+        budget = retrybudgets.RetryBudget()
         taken = sum(
-            retrybudgets.take_repeat(budget, _BOUNDS, 12, 0.0)
+            retrybudgets.take_retry(budget, _BOUNDS, 12, 0.0)
             for _ in range(100))
         self.assertEqual(taken, 4)
 
