--- a/benchmarks/edge_model.py
+++ b/benchmarks/edge_model.py
@@ -322,7 +322,7 @@
         self.rows[entry] = []
         if self.policy.place != 'told':
             return
-        works = (self.table.estimate_works(self.servers)
+        works = (self.table.estimate_work_means(self.servers)
                  if self.shape.keyed else {})
         for name, state in self.states[entry].items():
             state.shared_work_ms = works.get(name, 0.0)
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -261,7 +261,7 @@
                             waits=plan.may_lack_moves,
                             revision=revisions.show(result),
                             ranges=len(assignment.ranges))
-        role.measured.seed_works(assignment.works)
+        role.measured.seed_work_means(assignment.works)
         role.state = coordination.begin(
             assignment, result, context.clock.now(), plan.predecessor,
             context.platform.settings.bounds.hold_max_ms, plan.may_lack_moves)
--- a/lentilmoor/edge/keyloads.py
+++ b/lentilmoor/edge/keyloads.py
@@ -7,7 +7,7 @@
 
 # Part of the load that is taken as spread evenly over all keys, so that keys
 # without a sample count too.
-EVEN_PART = 0.15
+UNIFORM_FRACTION = 0.15
 
 
 class KeyLoads:
@@ -24,12 +24,12 @@
           loads: Requests of each key that was seen, per unit of time.
         """
         seen = sum(loads.values())
-        self.total = max(1.0, seen / (1 - EVEN_PART))
+        self.total = max(1.0, seen / (1 - UNIFORM_FRACTION))
         self._even = (self.total - seen) / tables.KEYS
         self._loads = sorted(loads.items())
         self._keys = [key for key, _ in self._loads]
 
-    def measure(self, first: int, last: int) -> float:
+    def sum_loads(self, first: int, last: int) -> float:
         """Returns the load of the keys from first to last."""
         seen = sum(load for key, load in self.list_keys(first, last))
         return seen + self._even * (last - first + 1)
@@ -45,8 +45,8 @@
         heavy = [item for item in self._loads if item[1] >= least]
         return sorted(heavy, key=lambda item: item[1], reverse=True)
 
-    def find_run(self, first: int, last: int,
-                 amount: float) -> tuple[int, int] | None:
+    def find_narrowest_range(self, first: int, last: int,
+                             amount: float) -> tuple[int, int] | None:
         """Returns the narrowest run of keys with about a load, if any.
 
         Args:
@@ -64,11 +64,12 @@
                 start += 1
             if load >= amount:
                 runs.append((keys[start][0], key))
-        return min(runs, key=find_width, default=None)
+        return min(runs, key=find_span, default=None)
 
-    def cut(self, first: int, last: int, pieces: int) -> list[tuple[int, int]]:
+    def split_by_load(self, first: int, last: int,
+                      pieces: int) -> list[tuple[int, int]]:
         """Cuts keys from first to last into pieces of about equal load."""
-        goal = self.measure(first, last) / pieces
+        goal = self.sum_loads(first, last) / pieces
         cuts, begin, load = [], first, 0.0
         for key, added in self.list_keys(first, last):
             load += added
@@ -76,16 +77,17 @@
                 cuts.append((begin, key))
                 begin, load = key + 1, 0.0
         if len(cuts) < pieces // 2:
-            return _cut_evenly(first, last, pieces)
+            return _split_by_width(first, last, pieces)
         return [*cuts, (begin, last)]
 
 
-def _cut_evenly(first: int, last: int, pieces: int) -> list[tuple[int, int]]:
+def _split_by_width(first: int, last: int,
+                    pieces: int) -> list[tuple[int, int]]:
     width = last - first + 1
     ends = [first + width * part // pieces for part in range(pieces + 1)]
     return [(ends[part], ends[part + 1] - 1) for part in range(pieces)]
 
 
-def find_width(run: tuple[int, int]) -> int:
+def find_span(run: tuple[int, int]) -> int:
     """Returns how many keys a run has more than one."""
     return run[1] - run[0]
--- a/lentilmoor/edge/loads.py
+++ b/lentilmoor/edge/loads.py
@@ -20,14 +20,14 @@
 
 # A request counts for half after this time: hot keys move within seconds, and
 # the counts of a service's usual load still add up to some hundreds.
-HALF_MS = 2_000.0
+HALF_LIFE_MS = 2_000.0
 # Answers that what an earlier coordinator learned counts for.
-SEED_COUNT = 30
-SLOWEST, FASTEST = 0.25, 3.0
+SEED_ANSWERS = 30
+MIN_CAPACITY, MAX_CAPACITY = 0.25, 3.0
 # A cold server takes twice as long.
 COLD_CAPACITY = 0.6
 # Converts a count with a half-life of `HALF_MS` to requests per second.
-_RATE_PER_COUNT = math.log(2) / (HALF_MS / clocks.MS_PER_S)
+_RATE_PER_COUNT = math.log(2) / (HALF_LIFE_MS / clocks.MS_PER_S)
 # Fraction of a server's rate limit up to which load is assigned. The rest
 # absorbs variations in load.
 LIMIT_FRACTION = 0.8
@@ -41,7 +41,7 @@
 # Minimum weight of a rate-limited server, for limits close to zero.
 MIN_WEIGHT = 1e-3
 _REFRESH_MS = 500.0
-_FORGOTTEN = 0.05
+_MIN_COUNT = 0.05
 
 
 @dataclasses.dataclass(slots=True)
@@ -74,9 +74,9 @@
     """
 
     counts: dict[int, float] = dataclasses.field(default_factory=dict)
-    faded_at: float = 0.0
-    works: dict[str,
-                workmeans.WorkMean] = dataclasses.field(default_factory=dict)
+    decayed_at: float = 0.0
+    work_means: dict[str, workmeans.WorkMean] = dataclasses.field(
+        default_factory=dict)
     refusal_streaks: dict[str, RefusalStreak] = dataclasses.field(
         default_factory=dict)
     cached: keyloads.KeyLoads = dataclasses.field(
@@ -85,7 +85,7 @@
 
     def add(self, rows: Iterable[reports.Row], now: float) -> None:
         """Takes in reported requests."""
-        self._fade(now)
+        self._decay_counts(now)
         for key, server, work_ms in rows:
             self.counts[key] = self.counts.get(key, 0.0) + 1.0
             if work_ms <= 0:
@@ -95,28 +95,29 @@
                 streak.last_at = now
             else:
                 self.refusal_streaks.pop(server, None)
-                workmeans.add(
-                    self.works.setdefault(server, workmeans.WorkMean()),
+                workmeans.record(
+                    self.work_means.setdefault(server, workmeans.WorkMean()),
                     work_ms)
 
-    def seed_works(self, learned: Mapping[str, float]) -> None:
+    def seed_work_means(self, learned: Mapping[str, float]) -> None:
         """Takes over what an earlier coordinator learned of servers."""
         for name, work_ms in learned.items():
-            self.works.setdefault(
-                name, workmeans.WorkMean(work_ms, SEED_COUNT, work_ms))
+            self.work_means.setdefault(
+                name, workmeans.WorkMean(work_ms, SEED_ANSWERS, work_ms))
 
-    def list_works(self, servers: Iterable[tables.Server]) -> dict[str, float]:
+    def list_work_means(self,
+                        servers: Iterable[tables.Server]) -> dict[str, float]:
         """Returns the mean time of work of servers that are known, ms."""
         return {
-            server.id: round(self.works[server.id].ms, 1)
+            server.id: round(self.work_means[server.id].ms, 1)
             for server in servers
-            if server.id in self.works
+            if server.id in self.work_means
         }
 
-    def key_loads(self, now: float) -> keyloads.KeyLoads:
+    def find_key_loads(self, now: float) -> keyloads.KeyLoads:
         """Returns the load by key."""
         if now - self.cached_at >= _REFRESH_MS:
-            self._fade(now)
+            self._decay_counts(now)
             self.cached = keyloads.KeyLoads(self.counts)
             self.cached_at = now
         return self.cached
@@ -125,15 +126,16 @@
                        servers: Iterable[tables.Server],
                        now: float) -> list[rebalancing.Transfer]:
         """Plans what makes load per capacity even (see `rebalancing`)."""
-        return rebalancing.plan_transfers(ranges, self.key_loads(now),
-                                          self.capacities(servers, now))
+        return rebalancing.plan_transfers(ranges, self.find_key_loads(now),
+                                          self.find_capacities(servers, now))
 
-    def estimate_works(self,
-                       servers: Iterable[tables.Server]) -> dict[str, float]:
+    def estimate_work_means(
+            self, servers: Iterable[tables.Server]) -> dict[str, float]:
         """Returns the mean time of work of servers, ms (see `workmeans`)."""
-        return workmeans.estimate(self.works, [server.id for server in servers])
+        return workmeans.estimate_means(self.work_means,
+                                        [server.id for server in servers])
 
-    def capacities(
+    def find_capacities(
             self,
             servers: Iterable[tables.Server],
             now: float,
@@ -146,22 +148,23 @@
           limits: Rate limits by server id, requests per second.
         """
         servers = list(servers)
-        estimates = self.estimate_works(servers)
-        usual = workmeans.average(self.works[server.id]
-                                  for server in servers
-                                  if server.id in self.works)
+        estimates = self.estimate_work_means(servers)
+        usual = workmeans.average_means(self.work_means[server.id]
+                                        for server in servers
+                                        if server.id in self.work_means)
         capacities = {}
         for server in servers:
             work_ms = estimates.get(server.id)
             capacity = usual / max(0.1, work_ms) if work_ms else 1.0
             if server.warm_at > now:
                 capacity = min(capacity, COLD_CAPACITY)
-            capacities[server.id] = min(FASTEST, max(SLOWEST, capacity))
+            capacities[server.id] = min(MAX_CAPACITY,
+                                        max(MIN_CAPACITY, capacity))
         zero_limits = dict.fromkeys(self._list_refusing_servers(now), 0.0)
         limits = {**(limits or {}), **zero_limits}
         if not limits or not capacities:
             return capacities
-        self._fade(now)
+        self._decay_counts(now)
         rate = sum(self.counts.values()) * _RATE_PER_COUNT
         return _apply_limits(capacities, limits, rate)
 
@@ -179,15 +182,15 @@
             streak.first_at >= MIN_REFUSED_MS
         ]
 
-    def _fade(self, now: float) -> None:
-        factor = 0.5**((now - self.faded_at) / HALF_MS)
+    def _decay_counts(self, now: float) -> None:
+        factor = 0.5**((now - self.decayed_at) / HALF_LIFE_MS)
         if factor > 0.98:
             return
-        self.faded_at = now
+        self.decayed_at = now
         self.counts = {
             key: count * factor
             for key, count in self.counts.items()
-            if count * factor > _FORGOTTEN
+            if count * factor > _MIN_COUNT
         }
 
 
--- a/lentilmoor/edge/placement.py
+++ b/lentilmoor/edge/placement.py
@@ -43,8 +43,8 @@
 JITTER_FRACTION = 0.2
 # What the way to another failure domain counts for, ms; more for large
 # answers, whose bytes between failure domains are paid for.
-CROSS_DOMAIN_COST_MS = 3.0
-CROSS_DOMAIN_LARGE_COST_MS = 25.0
+CROSS_DOMAIN_MS = 3.0
+CROSS_DOMAIN_LARGE_MS = 25.0
 # Part of a failure that is forgotten with each good answer.
 _FAILURE_DECAY_FACTOR = 0.8
 
@@ -143,7 +143,7 @@
         expected, full = estimate_response(server, state, wish.work_ms, now)
         score = expected / (1.0 - 0.9 * state.failure_rate)
         if server.domain != wish.domain:
-            score += CROSS_DOMAIN_LARGE_COST_MS if wish.large else CROSS_DOMAIN_COST_MS
+            score += CROSS_DOMAIN_LARGE_MS if wish.large else CROSS_DOMAIN_MS
         score *= 1.0 + JITTER_FRACTION * random()
         if full:
             score += 10_000.0
@@ -187,8 +187,8 @@
         return state.shared_work_ms
     if not work_ms:
         return state.work_ms or DEFAULT_WORK_MS
-    return workmeans.blend(state.work_ms, state.answer_count, NEWEST_WEIGHT,
-                           work_ms)
+    return workmeans.blend_means(state.work_ms, state.answer_count,
+                                 NEWEST_WEIGHT, work_ms)
 
 
 def _count_others(state: ServerState, work_ms: float, alone: bool,
@@ -232,8 +232,8 @@
 def record_work(state: ServerState, work_ms: float) -> None:
     """Takes in how long a server worked on a request, ms."""
     state.answer_count += 1
-    state.work_ms = workmeans.advance(state.work_ms, state.answer_count,
-                                      NEWEST_WEIGHT, work_ms)
+    state.work_ms = workmeans.update_mean(state.work_ms, state.answer_count,
+                                          NEWEST_WEIGHT, work_ms)
 
 
 def estimate_work(took_ms: float, load: ports.ServerLoad | None) -> float:
--- a/lentilmoor/edge/rebalancing.py
+++ b/lentilmoor/edge/rebalancing.py
@@ -235,13 +235,13 @@
     transfers: list[Transfer] = []
     for before, item in zip(owned, owned[1:], strict=False):
         scrap, target = item, before.server
-        if loads.measure(before.first,
-                         before.last) < loads.measure(item.first, item.last):
+        if loads.sum_loads(before.first, before.last) < loads.sum_loads(
+                item.first, item.last):
             scrap, target = before, item.server
         transfer = Transfer(scrap.first, scrap.last, scrap.server, target)
         known = {target, scrap.server} <= capacities.keys()
         together = before.last + 1 == item.first and target != scrap.server
-        small = loads.measure(scrap.first, scrap.last) < least
+        small = loads.sum_loads(scrap.first, scrap.last) < least
         if (known and together and small and
                 not _meets_any(transfer, transfers)):
             transfers.append(transfer)
@@ -263,13 +263,13 @@
     """
     held = _measure_servers(ranges, loads, capacities)
     share = loads.total / len(capacities)
-    pieces = round(loads.measure(item.first, item.last) / share * PIECES)
+    pieces = round(loads.sum_loads(item.first, item.last) / share * PIECES)
     pieces = max(
         1, min(pieces, item.last - item.first + 1, PIECES * len(capacities)))
     transfers = []
-    for first, last in loads.cut(item.first, item.last, pieces):
+    for first, last in loads.split_by_load(item.first, item.last, pieces):
         target = min(held, key=lambda name: held[name] / capacities[name])
-        held[target] += loads.measure(first, last)
+        held[target] += loads.sum_loads(first, last)
         transfers.append(Transfer(first, last, item.server, target))
     return transfers
 
@@ -280,7 +280,7 @@
     held = dict.fromkeys(capacities, 0.0)
     for item in ranges:
         if item.server in held:
-            held[item.server] += loads.measure(item.first, item.last)
+            held[item.server] += loads.sum_loads(item.first, item.last)
     return held
 
 
@@ -326,12 +326,13 @@
     """Picks the narrowest run of the source's keys that carries a load."""
     pieces = _list_light(plan, source, amount * HEAVY_FACTOR)
     runs = [
-        plan.loads.find_run(first, last, amount * 0.9) for first, last in pieces
+        plan.loads.find_narrowest_range(first, last, amount * 0.9)
+        for first, last in pieces
     ]
-    best = min(filter(None, runs), key=keyloads.find_width, default=None)
+    best = min(filter(None, runs), key=keyloads.find_span, default=None)
     if best is None:
         return _pick_widest(plan, pieces, source, target, amount)
-    if plan.loads.measure(*best) > amount * HEAVY_FACTOR:
+    if plan.loads.sum_loads(*best) > amount * HEAVY_FACTOR:
         return None
     return Transfer(best[0], best[1], source, target)
 
@@ -356,8 +357,8 @@
     """Takes part of the source's widest piece, where no keys were seen."""
     if not pieces:
         return None
-    first, last = max(pieces, key=keyloads.find_width)
-    load = plan.loads.measure(first, last)
+    first, last = max(pieces, key=keyloads.find_span)
+    load = plan.loads.sum_loads(first, last)
     if load <= amount * 1.1:
         return Transfer(first, last, source, target)
     width = int((last - first + 1) * amount / load)
@@ -367,7 +368,7 @@
 
 
 def _apply(plan: _Plan, transfer: Transfer) -> None:
-    load = plan.loads.measure(transfer.first, transfer.last)
+    load = plan.loads.sum_loads(transfer.first, transfer.last)
     plan.held[transfer.source] -= load
     plan.held[transfer.target] += load
     plan.owned[:] = keyranges.reassign(
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -43,18 +43,19 @@
     }
     view = ownership.View(
         servers, frozenset(owned.ended), owned.left,
-        role.measured.key_loads(now),
-        role.measured.capacities(
+        role.measured.find_key_loads(now),
+        role.measured.find_capacities(
             servers.values(), now,
             ratelimits.list_rates(context.forwarder.rate_limits)),
-        role.measured.list_works(servers.values()))
+        role.measured.list_work_means(servers.values()))
     known = len(state.moves)
     for action in coordination.plan(state, view, now):
         _carry_out(context, state, action)
     if len(state.moves) > known:
         _log_moves(context, state, view, len(state.moves) - known)
-    told = tables.Coordinated(moves.list_unserved(state),
-                              role.measured.estimate_works(servers.values()))
+    told = tables.Coordinated(
+        moves.list_unserved(state),
+        role.measured.estimate_work_means(servers.values()))
     context.forwarder.coordinated = context.forwarder.coordinated | {name: told}
 
 
--- a/lentilmoor/edge/sockets.py
+++ b/lentilmoor/edge/sockets.py
@@ -12,7 +12,7 @@
 BACKLOG = 512
 
 
-def open_listening(address: str) -> socket.socket:
+def open_listener(address: str) -> socket.socket:
     """Returns a socket that takes connections at an address.
 
     Args:
--- a/lentilmoor/platform/__main__.py
+++ b/lentilmoor/platform/__main__.py
@@ -17,7 +17,7 @@
     The program tells why, when it tries again.
     """
     try:
-        return sockets.open_listening(found.get(fields.CALLERS, ''))
+        return sockets.open_listener(found.get(fields.CALLERS, ''))
     except (OSError, ValueError):
         return None
 
--- a/tests/test_edge_rebalancing.py
+++ b/tests/test_edge_rebalancing.py
@@ -50,7 +50,7 @@
         self.assertTrue(all(item.source != item.target for item in transfers))
         outgoing = [item for item in transfers if item.source == 'low']
         moved = sum(
-            self.loads.measure(item.first, item.last) for item in outgoing)
+            self.loads.sum_loads(item.first, item.last) for item in outgoing)
         self.assertGreater(moved, self.loads.total / 4 * 0.8)
         self.assertLessEqual(len(outgoing), 2 * len(self.capacities))
         self.assertNotIn('low', {item.target for item in transfers})
@@ -85,7 +85,7 @@
                        if server != 'fast')
         for server, speed in SPEEDS.items():
             load = sum(
-                self.loads.measure(item.first, item.last)
+                self.loads.sum_loads(item.first, item.last)
                 for item in ranges
                 if item.server == server)
             share = rest * speed**rebalancing.SPEED_POWER / capacity
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -117,16 +117,16 @@
         moved = table.plan_transfers(ranges, servers, 1_200.0)
         self.assertTrue(moved)
         self.assertEqual({item.source for item in moved}, {'a'})
-        self.assertEqual(table.works['a'].ms, 60.0)
+        self.assertEqual(table.work_means['a'].ms, 60.0)
 
     def test_a_successor_begins_with_what_was_learned(self):
         table = loads.LoadTable()
-        table.seed_works({'a': 50.0, 'b': 100.0})
+        table.seed_work_means({'a': 50.0, 'b': 100.0})
         servers = [
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abc'
         ]
-        found = table.capacities(servers, 0.0)
+        found = table.find_capacities(servers, 0.0)
         self.assertGreater(found['a'], 1.3)
         self.assertLess(found['b'], 0.8)
         self.assertEqual(found['c'], 1.0)
@@ -143,10 +143,11 @@
             rows = [(key, 'a', 50.0) for key in range(0, tables.KEYS, 3_277)]
             table.add(rows, step * 200.0)
         now = 20_000.0
-        unlimited = table.capacities(servers, now)
-        self.assertEqual(table.capacities(servers, now, {'a': 60.0}), unlimited)
+        unlimited = table.find_capacities(servers, now)
+        self.assertEqual(table.find_capacities(servers, now, {'a': 60.0}),
+                         unlimited)
         for limits in ({'a': 5.0}, {'a': 5.0, 'b': 10.0}, {'a': 0.0}):
-            found = table.capacities(servers, now, limits)
+            found = table.find_capacities(servers, now, limits)
             weights = {
                 name: capacity**rebalancing.SPEED_POWER
                 for name, capacity in found.items()
@@ -189,9 +190,9 @@
         for now in (0.0, loads.MIN_REFUSED_MS):
             rows = [(0, 'a', 0.0)] * loads.MIN_REFUSED_REQUESTS
             table.add([*rows, (1, 'b', 50.0)], now)
-        self.assertLess(table.capacities(servers, now)['a'], 0.1)
+        self.assertLess(table.find_capacities(servers, now)['a'], 0.1)
         expired_at = now + loads.REFUSAL_RETENTION_MS + 1.0
-        self.assertEqual(table.capacities(servers, expired_at)['a'], 1.0)
+        self.assertEqual(table.find_capacities(servers, expired_at)['a'], 1.0)
 
     def test_scraps_are_joined_when_there_are_many(self):
         ranges = []
@@ -220,7 +221,8 @@
 
     def _add(self, ms: float, count: int) -> None:
         for _ in range(count):
-            workmeans.add(self.mean, ms * self.draw.lognormvariate(-0.32, 0.8))
+            workmeans.record(self.mean,
+                             ms * self.draw.lognormvariate(-0.32, 0.8))
 
     def test_chance_does_not_make_a_server_slow(self):
         for _ in range(200):
