--- a/benchmarks/edge_model.py
+++ b/benchmarks/edge_model.py
@@ -14,13 +14,13 @@
 import math
 import random
 
+from lentilmoor.edge import admission
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import loads
 from lentilmoor.edge import placement
 from lentilmoor.edge import ports
 from lentilmoor.edge import rebalancing
 from lentilmoor.edge import tables
-from lentilmoor.edge import waiting
 
 WAY_MS = 3.0
 REPORT_MS = 250.0
@@ -212,8 +212,8 @@
             server = self.random.choice(servers)
             expected, full = 0.0, False
         else:
-            wish = placement.Wish('', False,
-                                  placement.mean_work(self.servers, states))
+            wish = placement.ChoiceCriteria(
+                '', False, placement.average_work(self.servers, states))
             choice = self._choose(servers, states, wish)
             server, expected, full = (choice.server, choice.expected_ms,
                                       choice.full)
@@ -223,26 +223,27 @@
             self._refuse(job, back)
             return
         job.server, job.sent = self.index[server.id], self.now
-        placement.note_sent(states[server.id])
+        placement.record_sent(states[server.id])
         self._at(1.0, self._reach, job)
 
     def _choose(self, servers, states, wish) -> placement.Choice:
         if len(servers) > 1:
-            return placement.choose(servers, states, wish, self.now,
-                                    self.random.random)
+            return placement.choose_server(servers, states, wish, self.now,
+                                           self.random.random)
         server = servers[0]
         state = states[server.id]
         return placement.Choice(
             server,
-            *placement.expect(server, state, wish.work_ms, self.now, True))
+            *placement.estimate_response(server, state, wish.work_ms, self.now,
+                                         True))
 
     def _judge(self, job: Job, expected: float, full: bool) -> float | None:
         if self.policy.refuse == 'never':
             return None
         limit = (self.shape.goal_ms
                  if self.policy.refuse == 'goal' else self.shape.patience_ms)
-        return waiting.judge(
-            waiting.Prospect(expected, full, job.born + limit - self.now))
+        return admission.find_retry_after(
+            admission.WaitEstimate(expected, full, job.born + limit - self.now))
 
     def _refuse(self, job: Job, back: float) -> None:
         left = job.born + self.shape.patience_ms - self.now
@@ -287,16 +288,16 @@
 
     def _turned_away(self, job: Job) -> None:
         state = self.states[job.entry][self.servers[job.server].id]
-        placement.note_failure(state, self.now, True)
-        self._refuse(job, waiting.SOONEST_MS)
+        placement.record_failure(state, self.now, True)
+        self._refuse(job, admission.MIN_RETRY_AFTER_MS)
 
     def _answered(self, job: Job, whole: bool, load: ports.ServerLoad) -> None:
         name = self.servers[job.server].id
         state = self.states[job.entry][name]
         took = self.now - job.sent
-        placement.note_answer(state, took, load, self.now)
+        placement.record_answer(state, took, load, self.now)
         self.rows[job.entry].append(
-            (job.key, name, placement.find_work(took, load)))
+            (job.key, name, placement.estimate_work(took, load)))
         age = self.now + self.shape.way_ms - job.born
         if not whole or age > self.shape.patience_ms:
             self._end(job, 0.0)
@@ -321,14 +322,15 @@
         self.rows[entry] = []
         if self.policy.place != 'told':
             return
-        works = (self.table.estimate_works(self.servers)
+        works = (self.table.estimate_work_means(self.servers)
                  if self.shape.keyed else {})
         for name, state in self.states[entry].items():
-            state.shared_ms = works.get(name, 0.0)
-            state.reported = sum(counts[name]
-                                 for other, counts in enumerate(self.inflight)
-                                 if other != entry)
-            state.reported_at = self.now
+            state.shared_work_ms = works.get(name, 0.0)
+            state.reported_in_flight = sum(
+                counts[name]
+                for other, counts in enumerate(self.inflight)
+                if other != entry)
+            state.reported_in_flight_at = self.now
 
     def _balance(self) -> None:
         self._at(BALANCE_MS, self._balance)
--- a/lentilmoor/edge/weighing.py
+++ b/lentilmoor/edge/attemptresults.py
@@ -9,26 +9,26 @@
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
 
-_SERVER_FAULT = 500
-_SUCCESS = range(200, 300)
+_MIN_SERVER_ERROR = 500
+_SUCCESS_STATUSES = range(200, 300)
 
 _Reason = outcomes.Reason
 
 
-def weigh_loss(forwarder: requests.Forwarder, run: requests.Run,
-               choice: placement.Choice, state: placement.ServerState,
-               lost: outcomes.Unknown,
-               took_ms: float) -> requests.Outcome | None:
+def handle_loss(forwarder: requests.Forwarder, run: requests.Run,
+                choice: placement.Choice, state: placement.ServerState,
+                lost: outcomes.Unknown,
+                took_ms: float) -> requests.Outcome | None:
     """Takes in a try without an answer; None if another may follow."""
     now, server = forwarder.clock.now(), choice.server
     if lost.reason is _Reason.TIMED_OUT:
-        least_ms = placement.find_least_work(took_ms, choice)
+        least_ms = placement.estimate_min_work(took_ms, choice)
         if least_ms:
-            placement.note_work(state, least_ms)
+            placement.record_work(state, least_ms)
             _note_work(forwarder, run, server, least_ms)
     with forwarder.lock:
-        placement.note_failure(state, now, False)
-    run.avoid.add(server.id)
+        placement.record_failure(state, now, False)
+    run.excluded_servers.add(server.id)
     run.may_have_run = True
     forwarder.logger.info('try_lost',
                           request=run.request.fields.request_id,
@@ -38,15 +38,15 @@
                           fingerprint=suspects.make_fingerprint(
                               run.request).hex(),
                           age_ms=round(now - run.request.arrived_at))
-    if not run.repeatable or lost.reason is _Reason.TIMED_OUT:
+    if not run.idempotent or lost.reason is _Reason.TIMED_OUT:
         return lost
     return None
 
 
-def weigh_answer(forwarder: requests.Forwarder, run: requests.Run,
-                 server: tables.Server, state: placement.ServerState,
-                 reply: exchange.Reply,
-                 took_ms: float) -> requests.Outcome | None:
+def handle_answer(forwarder: requests.Forwarder, run: requests.Run,
+                  server: tables.Server, state: placement.ServerState,
+                  reply: exchange.Reply,
+                  took_ms: float) -> requests.Outcome | None:
     """Takes in an answer; None if another try may follow."""
     now = forwarder.clock.now()
     status, fields = reply.answer.status, reply.fields
@@ -58,32 +58,32 @@
     _note_availability(forwarder, server, state, fields, now)
     if fields.not_run:
         with forwarder.lock:
-            placement.note_failure(state, now, status == 503)
-        run.avoid.add(server.id)
+            placement.record_failure(state, now, status == 503)
+        run.excluded_servers.add(server.id)
         if run.service.keyed:
-            forwarder.hurry.set()
+            forwarder.report_now.set()
         return None
-    good = status < _SERVER_FAULT
-    if status in _SUCCESS and not fields.proven:
+    good = status < _MIN_SERVER_ERROR
+    if status in _SUCCESS_STATUSES and not fields.proven:
         good = False
     with forwarder.lock:
         if good:
-            placement.note_answer(state, took_ms, fields.load, now)
+            placement.record_answer(state, took_ms, fields.load, now)
         else:
-            placement.note_failure(state, now, False)
+            placement.record_failure(state, now, False)
     if good:
         _note_work(forwarder, run, server,
-                   placement.find_work(took_ms, fields.load))
-    if status in _SUCCESS and not fields.proven:
+                   placement.estimate_work(took_ms, fields.load))
+    if status in _SUCCESS_STATUSES and not fields.proven:
         run.may_have_run = True
         lost = outcomes.Unknown(_Reason.ANSWER_CUT, 'an answer without proof')
-        return None if run.repeatable else lost
-    if not good and run.repeatable:
-        run.avoid.add(server.id)
+        return None if run.idempotent else lost
+    if not good and run.idempotent:
+        run.excluded_servers.add(server.id)
         run.may_have_run = True
-        run.last = reply.answer
+        run.last_failure = reply.answer
         return None
-    if status in (408, 421, 429, 503) and not run.repeatable:
+    if status in (408, 421, 429, 503) and not run.idempotent:
         # Callers would take it for a promise that it has not run.
         return outcomes.Unknown(_Reason.CONNECTION_LOST,
                                 f'the server answered {status}')
@@ -99,10 +99,10 @@
     draining_started = pause_started = False
     with forwarder.lock:
         if fields.draining:
-            draining_started = placement.note_draining(state, now)
+            draining_started = placement.record_draining(state, now)
         if fields.retry_after_ms:
-            pause_started = placement.note_pause(state, fields.retry_after_ms,
-                                                 now)
+            pause_started = placement.record_pause(state, fields.retry_after_ms,
+                                                   now)
     if draining_started:
         forwarder.logger.info('server_draining', server=server.id)
     if pause_started:
@@ -119,7 +119,8 @@
                             work_ms))
 
 
-def conclude(run: requests.Run, refusal: outcomes.NotRun) -> requests.Outcome:
+def find_outcome(run: requests.Run,
+                 refusal: outcomes.NotRun) -> requests.Outcome:
     """Returns the outcome of a request for which no try is left.
 
     A refusal says that the request has not run; where it may have, the caller
@@ -127,9 +128,9 @@
     """
     if refusal.reason is _Reason.CANCELLED:
         return exchange.Gone(refusal.detail)
-    if run.last is not None:
-        return run.last
-    if run.may_have_run and not run.repeatable:
+    if run.last_failure is not None:
+        return run.last_failure
+    if run.may_have_run and not run.idempotent:
         return outcomes.Unknown(refusal.reason, refusal.detail)
     if run.may_have_run:
         return outcomes.Unknown(_Reason.CONNECTION_LOST, refusal.detail)
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -26,11 +26,11 @@
 from lentilmoor.edge import forwarding
 from lentilmoor.edge import knowledge
 from lentilmoor.edge import listening
-from lentilmoor.edge import measures
 from lentilmoor.edge import permits
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
+from lentilmoor.edge import requestmetrics
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
 from lentilmoor.edge import subscriptions
@@ -86,7 +86,7 @@
     logger: logs.Logger
     forwarder: requests.Forwarder
     count: shutdowns.RequestCount
-    measures: measures.Measures
+    measures: requestmetrics.RequestMetrics
     actor: pykka.ActorRef | None = None
     reporter: reporting.Reporter | None = None
     listeners: list[listening.Listener] = dataclasses.field(
@@ -159,11 +159,11 @@
         rules,
         suspects=suspects.make_quarantine(),
         started_at=-math.inf if first else started_at)
-    forwarder.limits = platform.settings.limits
+    forwarder.age_limits = platform.settings.limits
     forwarder.permit_table = permits.make_permit_table(
         platform.settings.control, clock, logger, socket_options)
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
-                  measures.Measures(clock))
+                  requestmetrics.RequestMetrics(clock))
     owned = beliefs.Beliefs(instance)
     entry.pace = owned.pace
     entry.actor = control.Control.start(
@@ -254,13 +254,16 @@
             float(snapshot.configuration.version if snapshot.
                   configuration else 0),
         'unserved_ranges':
-            float(sum(len(rows) for rows in entry.forwarder.unserved.values())),
+            float(
+                sum(
+                    len(rows)
+                    for rows in entry.forwarder.unserved_ranges.values())),
         'store_watches':
             float(entry.follower.begun),
         'store_era':
             float(entry.platform.store.find_era()),
         'news_age_ms':
-            requests.find_news_age(entry.forwarder),
+            requests.find_knowledge_age(entry.forwarder),
         'configuration_age_ms':
             requests.find_age(entry.forwarder,
                               entry.forwarder.freshness.known.configuration_at),
@@ -269,7 +272,7 @@
         'suspected_requests':
             float(len(entry.forwarder.suspects.suspects)),
         'quarantined_requests':
-            float(len(entry.forwarder.blocked)),
+            float(len(entry.forwarder.logged_blocked)),
         'crashed_servers':
             float(len(entry.forwarder.suspects.server_crashes)),
         'limited_servers':
@@ -286,7 +289,7 @@
     }
     calls = entry.platform.store.count_calls()
     gauges |= {f'store_calls_{kind}': float(calls[kind]) for kind in calls}
-    return 200, entry.measures.show(gauges), 'text/plain; version=0.0.4'
+    return 200, entry.measures.render(gauges), 'text/plain; version=0.0.4'
 
 
 def _find_limits(entry: Entry) -> tables.CallerLimits:
@@ -301,10 +304,10 @@
     """Writes a line for a request that no server answered."""
     age_ms = round(entry.clock.now() - request.arrived_at)
     if isinstance(outcome, tries.Answer):
-        entry.measures.note('answered', str(outcome.status), age_ms)
+        entry.measures.record('answered', str(outcome.status), age_ms)
         return
     if isinstance(outcome, exchange.Gone):
-        entry.measures.note('left', 'caller-left', age_ms)
+        entry.measures.record('left', 'caller-left', age_ms)
         entry.logger.info('caller_left',
                           request=request.fields.request_id,
                           where=outcome.where,
@@ -312,8 +315,8 @@
                           age_ms=age_ms)
         return
     refused = isinstance(outcome, outcomes.NotRun)
-    entry.measures.note('not-run' if refused else 'unknown',
-                        outcome.reason.value, age_ms)
+    entry.measures.record('not-run' if refused else 'unknown',
+                          outcome.reason.value, age_ms)
     entry.logger.info('request_refused' if refused else 'request_failed',
                       request=request.fields.request_id,
                       reason=outcome.reason.value,
@@ -326,7 +329,7 @@
     snapshot = entry.forwarder.snapshot
     ready = (snapshot.configuration is not None and
              not entry.forwarder.departure.asked and
-             requests.is_recent(entry.forwarder) and
+             requests.is_server_data_recent(entry.forwarder) and
              requests.is_configuration_recent(entry.forwarder) and
              all(name in snapshot.assignments
                  for name in snapshot.configuration.list_keyed()))
@@ -428,7 +431,7 @@
 def _log_interrupted(entry: Entry) -> None:
     """Writes a line for each request that the end of this process cuts."""
     now = entry.clock.now()
-    for cut in list(entry.forwarder.running):
+    for cut in list(entry.forwarder.in_flight):
         worked_ms = round(now - cut.sent_at) if cut.server else 0
         entry.logger.warning('request_interrupted',
                              request=cut.request.fields.request_id,
@@ -437,4 +440,4 @@
                              server=cut.server,
                              worked_ms=worked_ms,
                              age_ms=round(now - cut.request.arrived_at),
-                             left_ms=round(cut.until - now))
+                             left_ms=round(cut.deadline_at - now))
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -11,18 +11,18 @@
 from lentilmoor import connections
 from lentilmoor import outcomes
 from lentilmoor import quarantine
-from lentilmoor.edge import budgets
+from lentilmoor.edge import attemptresults
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import matching
-from lentilmoor.edge import picks
 from lentilmoor.edge import placement
 from lentilmoor.edge import ratelimits
 from lentilmoor.edge import requests
+from lentilmoor.edge import retrybudgets
+from lentilmoor.edge import selection
 from lentilmoor.edge import staleness
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
-from lentilmoor.edge import weighing
 
 # Servers that are looked at for one request, those included that can't be
 # connected to.
@@ -74,12 +74,12 @@
     verdict = suspects.check(forwarder, request)
     if verdict is quarantine.Verdict.BLOCKED:
         return suspects.make_refusal()
-    name = matching.pick_part(route, forwarder.generator.random())
+    name = matching.pick_service(route, forwarder.generator.random())
     snapshot = forwarder.snapshot
     service = snapshot.configuration.services.get(name)
     if service is None:
         return outcomes.NotRun(_Reason.NO_SERVER, 'no such service',
-                               picks.FULL_RETRY_MS)
+                               selection.SERVICE_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
     patience_ms = request.fields.patience_ms or PATIENCE_MS
@@ -87,16 +87,16 @@
                                      route.timeout_ms)
     run = requests.Run(request, route, service, until)
     if verdict is quarantine.Verdict.SUSPECT:
-        run.on_trial = suspects.begin_trial(forwarder, request)
+        run.is_trial = suspects.begin_trial(forwarder, request)
     with forwarder.lock:
-        budgets.note_request(_budget_of(forwarder, name),
-                             forwarder.platform.settings.bounds,
-                             request.arrived_at)
-    forwarder.running.add(run)
+        retrybudgets.record_request(_budget_of(forwarder, name),
+                                    forwarder.platform.settings.bounds,
+                                    request.arrived_at)
+    forwarder.in_flight.add(run)
     try:
         return _carry(forwarder, run)
     finally:
-        forwarder.running.discard(run)
+        forwarder.in_flight.discard(run)
 
 
 def _await_configuration(forwarder: requests.Forwarder,
@@ -112,7 +112,7 @@
         left_ms = until - forwarder.clock.now()
         if left_ms <= 0:
             break
-        picks.await_change(forwarder, snapshot, left_ms)
+        selection.await_snapshot(forwarder, snapshot, left_ms)
         snapshot = forwarder.snapshot
     return snapshot
 
@@ -122,13 +122,15 @@
     """Returns a request's route by a recent configuration, or a refusal."""
     if not _await(forwarder, request, requests.is_configuration_recent):
         return _refuse_outdated(forwarder, request)
-    route = matching.find_route(forwarder.index, request.host, request.path)
+    route = matching.find_route(forwarder.route_index, request.host,
+                                request.path)
     if route is not None:
         return route
-    if not _await(forwarder, request, requests.may_deny):
+    if not _await(forwarder, request, requests.may_reject_unknown_route):
         return _refuse_outdated(forwarder, request)
     # It may have come while this waited.
-    route = matching.find_route(forwarder.index, request.host, request.path)
+    route = matching.find_route(forwarder.route_index, request.host,
+                                request.path)
     return route or outcomes.NotRun(_Reason.UNKNOWN_SERVICE, 'no such route')
 
 
@@ -161,35 +163,35 @@
 def _carry(forwarder: requests.Forwarder,
            run: requests.Run) -> requests.Outcome:
     for _ in range(MOST_PICKS):
-        if not _await(forwarder, run.request, requests.is_recent):
-            return weighing.conclude(run,
-                                     _refuse_outdated(forwarder, run.request))
-        choice = picks.pick(forwarder, run)
+        if not _await(forwarder, run.request, requests.is_server_data_recent):
+            return attemptresults.find_outcome(
+                run, _refuse_outdated(forwarder, run.request))
+        choice = selection.select_server(forwarder, run)
         if not isinstance(choice, placement.Choice):
-            return weighing.conclude(run, choice)
+            return attemptresults.find_outcome(run, choice)
         refusal = (_check_blocked(forwarder, run) or
                    _check_departure(forwarder, run, choice) or
                    _check_repeat(forwarder, run, choice))
         if refusal is not None:
-            return weighing.conclude(run, refusal)
-        refusal = picks.take_permit(forwarder, run, choice.server)
+            return attemptresults.find_outcome(run, refusal)
+        refusal = selection.take_permit(forwarder, run, choice.server)
         if refusal is not None:
             if run.service.keyed:
-                return weighing.conclude(run, refusal)
+                return attemptresults.find_outcome(run, refusal)
             continue
         result = _try(forwarder, run, choice)
         if result is not None:
             return result
-    return weighing.conclude(
+    return attemptresults.find_outcome(
         run,
         outcomes.NotRun(_Reason.NO_SERVER, 'no server takes the request',
-                        picks.FULL_RETRY_MS))
+                        selection.SERVICE_RETRY_MS))
 
 
 def _check_blocked(forwarder: requests.Forwarder,
                    run: requests.Run) -> outcomes.NotRun | None:
     """Returns the refusal of a request that has been blocked since it came."""
-    if run.on_trial or suspects.check(forwarder,
+    if run.is_trial or suspects.check(forwarder,
                                       run.request) is quarantine.Verdict.CLEAR:
         return None
     return suspects.make_refusal()
@@ -198,18 +200,19 @@
 def _check_departure(forwarder: requests.Forwarder, run: requests.Run,
                      choice: placement.Choice) -> outcomes.NotRun | None:
     """Returns the refusal of a request that can't end before this process."""
-    return departures.check_send(forwarder.departure, run.until, run.repeatable,
-                                 choice.expected_ms, forwarder.clock.now())
+    return departures.check_send(forwarder.departure, run.deadline_at,
+                                 run.idempotent, choice.expected_ms,
+                                 forwarder.clock.now())
 
 
 def _check_repeat(forwarder: requests.Forwarder, run: requests.Run,
                   choice: placement.Choice) -> outcomes.NotRun | None:
     """Returns the refusal of a try for which no repeat is left."""
-    if not run.sent or _may_repeat(forwarder, run, choice):
+    if not run.sent_to or _may_repeat(forwarder, run, choice):
         return None
     return outcomes.NotRun(_Reason.OVERLOADED,
                            'no repeats are left for the service',
-                           picks.FULL_RETRY_MS)
+                           selection.SERVICE_RETRY_MS)
 
 
 def _may_repeat(forwarder: requests.Forwarder, run: requests.Run,
@@ -218,13 +221,13 @@
         return False
     # The new owner of a moving key may have turned the request away before it
     # was granted the key; asking it again takes it to no other server.
-    if len(run.sent | {choice.server.id}) > max(1, run.route.attempts):
+    if len(run.sent_to | {choice.server.id}) > max(1, run.route.attempts):
         return False
     with forwarder.lock:
-        return budgets.take_repeat(_budget_of(forwarder, run.service.name),
-                                   forwarder.platform.settings.bounds,
-                                   max(1, len(forwarder.snapshot.entries)),
-                                   forwarder.clock.now())
+        return retrybudgets.take_retry(_budget_of(forwarder, run.service.name),
+                                       forwarder.platform.settings.bounds,
+                                       max(1, len(forwarder.snapshot.entries)),
+                                       forwarder.clock.now())
 
 
 def _try(forwarder: requests.Forwarder, run: requests.Run,
@@ -233,19 +236,22 @@
     request, server = run.request, choice.server
     state, pool = _enter(forwarder, run.service, server)
     sent_at = forwarder.clock.now()
-    until = min(run.until, departures.find_end(forwarder.departure, sent_at))
+    until = min(run.deadline_at,
+                departures.find_end(forwarder.departure, sent_at))
 
     def make_headers() -> dict[str, str] | None:
         # A connection may take 0.5 s on a small machine, in which news come.
-        if (not picks.may_send(forwarder, run.service, server.id) or
+        if (not selection.may_send(forwarder, run.service, server.id) or
                 _check_departure(forwarder, run, choice) is not None or
                 _check_blocked(forwarder, run) is not None):
             return None
-        if requests.find_news_age(forwarder) > forwarder.limits.send_ms:
+        if requests.find_knowledge_age(
+                forwarder) > forwarder.age_limits.send_ms:
             _log_outdated(forwarder, request, 'sent_by_old_copy')
         _log_if_unavailable(forwarder, run, server, state)
-        ratelimits.note_sent(forwarder.rate_limits, server.id, bool(run.sent),
-                             forwarder.clock.now(), forwarder.logger)
+        ratelimits.note_sent(forwarder.rate_limits, server.id,
+                             bool(run.sent_to), forwarder.clock.now(),
+                             forwarder.logger)
         headers = dict(request.headers)
         run.server, run.sent_at = server.id, forwarder.clock.now()
         forwarder.platform.dialect.mark(headers, server.name or server.id,
@@ -254,7 +260,7 @@
 
     order = exchange.Order(request.fields.request_id, request.method,
                            request.target, make_headers, request.body,
-                           run.repeatable, until)
+                           run.idempotent, until)
     result = exchange.send(pool, order, request.watch,
                            forwarder.platform.dialect.read_answer,
                            forwarder.clock)
@@ -262,39 +268,39 @@
     run.server = ''
     if isinstance(result, exchange.Gone):
         with forwarder.lock:
-            placement.note_left(state)
+            placement.record_abandoned(state)
         suspects.note_lost_request(forwarder, run, server, pool, False)
         return exchange.Gone(server.id, now - sent_at)
     if isinstance(result, exchange.Withheld):
         with forwarder.lock:
-            placement.note_left(state)
-        run.avoid.add(server.id)
+            placement.record_abandoned(state)
+        run.excluded_servers.add(server.id)
         late = _check_departure(forwarder, run, choice)
-        return None if late is None else weighing.conclude(run, late)
+        return None if late is None else attemptresults.find_outcome(run, late)
     if isinstance(result, exchange.NotSent):
         with forwarder.lock:
-            placement.note_unreached(state, now)
+            placement.record_connect_failure(state, now)
         if result.reason is _Reason.CONNECT_FAILED:
             suspects.note_connection_refused(forwarder, server)
-        run.avoid.add(server.id)
+        run.excluded_servers.add(server.id)
         return None
-    run.sent.add(server.id)
+    run.sent_to.add(server.id)
     if isinstance(result, outcomes.Unknown):
         suspects.note_lost_request(forwarder, run, server, pool, result.reason
                                    is _Reason.TIMED_OUT)
-        return weighing.weigh_loss(forwarder, run, choice, state, result,
-                                   now - sent_at)
-    return weighing.weigh_answer(forwarder, run, server, state, result,
-                                 now - sent_at)
+        return attemptresults.handle_loss(forwarder, run, choice, state, result,
+                                          now - sent_at)
+    return attemptresults.handle_answer(forwarder, run, server, state, result,
+                                        now - sent_at)
 
 
 def _log_outdated(forwarder: requests.Forwarder, request: requests.Request,
                   event: str) -> None:
     """Logs what became of a request by an old copy, rate-limited."""
     now = forwarder.clock.now()
-    if now - forwarder.outdated_logged_at < OUTDATED_LOG_INTERVAL_MS:
+    if now - forwarder.stale_logged_at < OUTDATED_LOG_INTERVAL_MS:
         return
-    forwarder.outdated_logged_at = now
+    forwarder.stale_logged_at = now
     applied = staleness.find_applied(forwarder.freshness)
     forwarder.logger.info(event,
                           request=request.fields.request_id,
@@ -324,7 +330,7 @@
                           server=server.id,
                           draining_ms=round(draining_ms),
                           pause_left_ms=round(max(0, state.paused_until - now)),
-                          repeat=bool(run.sent))
+                          repeat=bool(run.sent_to))
 
 
 def _enter(
@@ -332,8 +338,9 @@
         server: tables.Server
 ) -> tuple[placement.ServerState, connections.Pool]:
     with forwarder.lock:
-        state = forwarder.states.setdefault(server.id, placement.ServerState())
-        placement.note_sent(state)
+        state = forwarder.server_states.setdefault(server.id,
+                                                   placement.ServerState())
+        placement.record_sent(state)
         pool = forwarder.pools.get(server.id)
         if pool is None:
             pool = connections.Pool(server.address,
@@ -357,6 +364,7 @@
                                most=min(forwarder.rules.most, share))
 
 
-def _budget_of(forwarder: requests.Forwarder, service: str) -> budgets.Budget:
-    return forwarder.repeats.setdefault(
-        service, budgets.Budget(began_at=forwarder.started_at))
+def _budget_of(forwarder: requests.Forwarder,
+               service: str) -> retrybudgets.RetryBudget:
+    return forwarder.retry_budgets.setdefault(
+        service, retrybudgets.RetryBudget(started_at=forwarder.started_at))
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -117,8 +117,8 @@
                        MIN_REPORT_INTERVAL_PER_ENTRY_MS * entries)
         pause_ms = find_report_interval(entries)
         clocks.pause(hurry_ms)
-        forwarder.hurry.wait((pause_ms - hurry_ms) / clocks.MS_PER_S)
-        forwarder.hurry.clear()
+        forwarder.report_now.wait((pause_ms - hurry_ms) / clocks.MS_PER_S)
+        forwarder.report_now.clear()
         exchange_reports(reporter)
 
 
@@ -169,7 +169,7 @@
             reporter.instance, rows, _count_inflight(forwarder), {
                 name: item.next_fence
                 for name, item in forwarder.snapshot.assignments.items()
-            }, forwarder.followed, wants_works,
+            }, forwarder.followed_revision, wants_works,
             ratelimits.list_limits(forwarder.rate_limits, asked_at),
             _list_draining(forwarder), evidence, peer.instance,
             versions.received))
@@ -184,8 +184,8 @@
 def _note_hubs(reporter: Reporter, peers: dict[ports.Peer, set[str]]) -> None:
     """Notes who the hubs are now; only the first tries blocked requests."""
     first = next(iter(peers), None)
-    reporter.forwarder.tries_suspects = (first is not None and
-                                         first.instance == reporter.instance)
+    reporter.forwarder.runs_trials = (first is not None and
+                                      first.instance == reporter.instance)
     reporter.evidence_versions = {
         peer.instance:
             reporter.evidence_versions.get(peer.instance, EvidenceVersions())
@@ -198,7 +198,7 @@
     forwarder = reporter.forwarder
     told = max((row.confirmed for row in reporter.evidence_versions.values()),
                default=0)
-    others = sorted(requests.list_others(forwarder))
+    others = sorted(requests.list_other_entries(forwarder))
     if others and told < forwarder.suspects.version:
         _ask(reporter, ports.Peer('', forwarder.generator.choice(others)), {},
              False)
@@ -225,7 +225,8 @@
     # What is told is at least as new as these say.
     known = forwarder.freshness.known
     configuration_revision = forwarder.configuration_revision
-    revision, version = forwarder.followed, forwarder.newest_version
+    revision, version = (forwarder.followed_revision,
+                         forwarder.newest_configuration_version)
     hub.record_inflight(table, found.entry, found.inflight, now)
     suspects.merge(forwarder, found.evidence, now)
     heard = found.evidence_seen if found.hub == reporter.instance else 0
@@ -286,14 +287,15 @@
       Everything, if another entry knows more than this one.
     """
     forwarder = reporter.forwarder
-    known = requests.list_others(forwarder)
+    known = requests.list_other_entries(forwarder)
     if not known:
         return None
     address = forwarder.generator.choice(sorted(known))
     hubs = known & {peer.address for peer in find_hubs(reporter)}
     if whole and hubs and forwarder.generator.random() < HUB_PROBABILITY:
         address = min(hubs)
-    return fetch_state(reporter, address, 0 if whole else forwarder.followed)
+    return fetch_state(reporter, address,
+                       0 if whole else forwarder.followed_revision)
 
 
 def fetch_state(reporter: Reporter, address: str,
@@ -374,18 +376,18 @@
         reporter.on_news(heard)
         _apply_rate_limits(reporter, told)
         with forwarder.lock:
-            for name, state in forwarder.states.items():
-                state.reported = float(reply.others.get(name, 0))
-                state.reported_at = now
-    forwarder.unserved = {
+            for name, state in forwarder.server_states.items():
+                state.reported_in_flight = float(reply.others.get(name, 0))
+                state.reported_in_flight_at = now
+    forwarder.unserved_ranges = {
         name: item.unserved for name, item in coordinated.items()
     }
     with forwarder.lock:
         for item in coordinated.values():
             for name, work_ms in item.works.items():
-                state = forwarder.states.setdefault(name,
-                                                    placement.ServerState())
-                state.shared_ms = work_ms
+                state = forwarder.server_states.setdefault(
+                    name, placement.ServerState())
+                state.shared_work_ms = work_ms
 
 
 def _hear_assignments(reporter: Reporter, reply: reports.ReportReply) -> None:
@@ -410,7 +412,7 @@
     """Returns the ids of servers whose answers reported draining."""
     with forwarder.lock:
         return [
-            name for name, state in forwarder.states.items()
+            name for name, state in forwarder.server_states.items()
             if state.draining_at is not None
         ]
 
@@ -419,6 +421,6 @@
     with forwarder.lock:
         return {
             name: state.inflight
-            for name, state in forwarder.states.items()
+            for name, state in forwarder.server_states.items()
             if state.inflight > 0
         }
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -10,7 +10,6 @@
 from lentilmoor import outcomes
 from lentilmoor import quarantine
 from lentilmoor import tries
-from lentilmoor.edge import budgets
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import matching
@@ -19,6 +18,7 @@
 from lentilmoor.edge import ports
 from lentilmoor.edge import ratelimits
 from lentilmoor.edge import reports
+from lentilmoor.edge import retrybudgets
 from lentilmoor.edge import staleness
 from lentilmoor.edge import tables
 
@@ -120,48 +120,49 @@
     platform: ports.Platform
     logger: object
     rules: connections.Rules
-    index: matching.RouteIndex = dataclasses.field(
+    route_index: matching.RouteIndex = dataclasses.field(
         default_factory=lambda: matching.make_index({}))
     snapshot: tables.Snapshot = dataclasses.field(
         default_factory=lambda: tables.Snapshot(None, {}, {}, {}, {}))
     changed: threading.Condition = dataclasses.field(
         default_factory=threading.Condition)
-    states: dict[str, placement.ServerState] = dataclasses.field(
+    server_states: dict[str, placement.ServerState] = dataclasses.field(
         default_factory=dict)
     pools: dict[str, connections.Pool] = dataclasses.field(default_factory=dict)
-    repeats: dict[str, budgets.Budget] = dataclasses.field(default_factory=dict)
-    running: set['Run'] = dataclasses.field(default_factory=set)
+    retry_budgets: dict[str, retrybudgets.RetryBudget] = dataclasses.field(
+        default_factory=dict)
+    in_flight: set['Run'] = dataclasses.field(default_factory=set)
     rate_limits: ratelimits.RateLimits = dataclasses.field(
         default_factory=ratelimits.RateLimits)
     permit_table: permits.PermitTable = dataclasses.field(
         default_factory=permits.PermitTable)
     samples: list[Sample] = dataclasses.field(default_factory=list)
-    hurry: threading.Event = dataclasses.field(default_factory=threading.Event)
-    unserved: dict[str,
-                   list[tuple[int,
-                              int]]] = dataclasses.field(default_factory=dict)
+    report_now: threading.Event = dataclasses.field(
+        default_factory=threading.Event)
+    unserved_ranges: dict[str, list[tuple[int, int]]] = dataclasses.field(
+        default_factory=dict)
     coordinated: dict[str, tables.Coordinated] = dataclasses.field(
         default_factory=dict)
     suspects: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine)
-    losses: dict[str, list] = dataclasses.field(default_factory=dict)
-    blocked: frozenset[bytes] = frozenset()
-    tries_suspects: bool = False
-    tried: dict[bytes, float] = dataclasses.field(default_factory=dict)
+    lost_requests: dict[str, list] = dataclasses.field(default_factory=dict)
+    logged_blocked: frozenset[bytes] = frozenset()
+    runs_trials: bool = False
+    last_trials_at: dict[bytes, float] = dataclasses.field(default_factory=dict)
     started_at: float = float('-inf')
     departure: departures.Departure = dataclasses.field(
         default_factory=departures.Departure)
-    limits: staleness.Limits = dataclasses.field(
+    age_limits: staleness.Limits = dataclasses.field(
         default_factory=staleness.make_limits)
     freshness: staleness.Freshness = dataclasses.field(
         default_factory=staleness.Freshness)
-    followed: int = 0
-    version: int = 0
+    followed_revision: int = 0
+    configuration_version: int = 0
     configuration_revision: int = 0
-    newest_version: int = 0
-    news: tables.News = tables.News()
-    heard: tables.News = tables.News()
-    outdated_logged_at: float = float('-inf')
+    newest_configuration_version: int = 0
+    own_progress: tables.News = tables.News()
+    hub_progress: tables.News = tables.News()
+    stale_logged_at: float = float('-inf')
     unavailable_logged_at: float = float('-inf')
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
     generator: random.Random = dataclasses.field(default_factory=random.Random)
@@ -191,22 +192,22 @@
     request: Request
     route: tables.Route
     service: tables.Service
-    until: float
+    deadline_at: float
     server: str = ''
     sent_at: float = 0.0
-    sent: set[str] = dataclasses.field(default_factory=set)
-    avoid: set[str] = dataclasses.field(default_factory=set)
+    sent_to: set[str] = dataclasses.field(default_factory=set)
+    excluded_servers: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
-    last: tries.Answer | None = None
-    on_trial: bool = False
+    last_failure: tries.Answer | None = None
+    is_trial: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def idempotent(self) -> bool:
         """Whether it may be run more than once."""
         return self.route.repeat is tables.Repeat.IDEMPOTENT
 
 
-def find_news_age(forwarder: Forwarder) -> float:
+def find_knowledge_age(forwarder: Forwarder) -> float:
     """Returns how long ago an entry knew all that the store held, ms."""
     return find_age(forwarder, forwarder.freshness.known.servers_at)
 
@@ -216,7 +217,7 @@
     return min(forwarder.clock.now() - known_at, reports.UNKNOWN_AGE_MS)
 
 
-def list_others(forwarder: Forwarder) -> set[str]:
+def list_other_entries(forwarder: Forwarder) -> set[str]:
     """Returns the addresses of the other entries."""
     settings = forwarder.platform.settings
     known = {peer.address for peer in forwarder.snapshot.entries.values()
@@ -225,30 +226,32 @@
     return known
 
 
-def is_recent(forwarder: Forwarder) -> bool:
+def is_server_data_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be sent by what is known of servers."""
     known_at = staleness.find_applied(forwarder.freshness).servers_at
-    return _is_usable(forwarder, known_at, forwarder.limits.send_ms)
+    return _is_usable(forwarder, known_at, forwarder.age_limits.send_ms)
 
 
 def is_configuration_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be routed by the configuration."""
     known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return _is_usable(forwarder, known_at, forwarder.limits.route_ms)
+    return _is_usable(forwarder, known_at, forwarder.age_limits.route_ms)
 
 
-def may_deny(forwarder: Forwarder) -> bool:
+def may_reject_unknown_route(forwarder: Forwarder) -> bool:
     """Returns whether a route that isn't known certainly doesn't exist."""
     known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return find_age(forwarder, known_at) <= forwarder.limits.deny_ms
+    return find_age(forwarder, known_at) <= forwarder.age_limits.deny_ms
 
 
 def _is_usable(forwarder: Forwarder, known_at: float, limit_ms: float) -> bool:
-    return find_age(forwarder, known_at) <= limit_ms or is_store_away(forwarder)
+    return find_age(forwarder,
+                    known_at) <= limit_ms or is_store_unavailable(forwarder)
 
 
-def is_store_away(forwarder: Forwarder) -> bool:
+def is_store_unavailable(forwarder: Forwarder) -> bool:
     """Returns whether the store seems to be away from everybody."""
-    return staleness.is_store_away(forwarder.freshness, list_others(forwarder),
+    return staleness.is_store_away(forwarder.freshness,
+                                   list_other_entries(forwarder),
                                    forwarder.platform.store.find_silence(),
-                                   forwarder.clock.now(), forwarder.limits)
+                                   forwarder.clock.now(), forwarder.age_limits)
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -121,11 +121,11 @@
         reporter.on_news = functools.partial(knowledge.take_news, follower)
         reporting.exchange_reports(reporter)
         # What isn't taken in makes nothing newer.
-        self.assertEqual(requests.find_news_age(forwarder),
+        self.assertEqual(requests.find_knowledge_age(forwarder),
                          reports.UNKNOWN_AGE_MS)
         follower.seen = ports.Everything(None, {}, {}, {}, {}, 5)
         reporting.exchange_reports(reporter)
-        self.assertEqual(requests.find_news_age(forwarder), 1_000.0)
+        self.assertEqual(requests.find_knowledge_age(forwarder), 1_000.0)
 
 
 class StuckPeersTest(unittest.TestCase):
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -19,11 +19,11 @@
 from lentilmoor.edge import keyloads
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import loads
-from lentilmoor.edge import measures
 from lentilmoor.edge import ports
 from lentilmoor.edge import rebalancing
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
+from lentilmoor.edge import requestmetrics
 from lentilmoor.edge import requests
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
@@ -117,16 +117,16 @@
         moved = table.plan_transfers(ranges, servers, 1_200.0)
         self.assertTrue(moved)
         self.assertEqual({item.source for item in moved}, {'a'})
-        self.assertEqual(table.works['a'].ms, 60.0)
+        self.assertEqual(table.work_means['a'].ms, 60.0)
 
     def test_a_successor_begins_with_what_was_learned(self):
         table = loads.LoadTable()
-        table.seed_works({'a': 50.0, 'b': 100.0})
+        table.seed_work_means({'a': 50.0, 'b': 100.0})
         servers = [
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abc'
         ]
-        found = table.capacities(servers, 0.0)
+        found = table.find_capacities(servers, 0.0)
         self.assertGreater(found['a'], 1.3)
         self.assertLess(found['b'], 0.8)
         self.assertEqual(found['c'], 1.0)
@@ -143,10 +143,11 @@
             rows = [(key, 'a', 50.0) for key in range(0, tables.KEYS, 3_277)]
             table.add(rows, step * 200.0)
         now = 20_000.0
-        unlimited = table.capacities(servers, now)
-        self.assertEqual(table.capacities(servers, now, {'a': 60.0}), unlimited)
+        unlimited = table.find_capacities(servers, now)
+        self.assertEqual(table.find_capacities(servers, now, {'a': 60.0}),
+                         unlimited)
         for limits in ({'a': 5.0}, {'a': 5.0, 'b': 10.0}, {'a': 0.0}):
-            found = table.capacities(servers, now, limits)
+            found = table.find_capacities(servers, now, limits)
             weights = {
                 name: capacity**rebalancing.SPEED_POWER
                 for name, capacity in found.items()
@@ -189,9 +190,9 @@
         for now in (0.0, loads.MIN_REFUSED_MS):
             rows = [(0, 'a', 0.0)] * loads.MIN_REFUSED_REQUESTS
             table.add([*rows, (1, 'b', 50.0)], now)
-        self.assertLess(table.capacities(servers, now)['a'], 0.1)
+        self.assertLess(table.find_capacities(servers, now)['a'], 0.1)
         expired_at = now + loads.REFUSAL_RETENTION_MS + 1.0
-        self.assertEqual(table.capacities(servers, expired_at)['a'], 1.0)
+        self.assertEqual(table.find_capacities(servers, expired_at)['a'], 1.0)
 
     def test_scraps_are_joined_when_there_are_many(self):
         ranges = []
@@ -220,7 +221,8 @@
 
     def _add(self, ms: float, count: int) -> None:
         for _ in range(count):
-            workmeans.add(self.mean, ms * self.draw.lognormvariate(-0.32, 0.8))
+            workmeans.record(self.mean,
+                             ms * self.draw.lognormvariate(-0.32, 0.8))
 
     def test_chance_does_not_make_a_server_slow(self):
         for _ in range(200):
@@ -337,18 +339,20 @@
 
     def test_what_each_tells_of_its_service_stands_beside_the_other(self):
         reporting.exchange_reports(self.reporter)
-        self.assertEqual(self.forwarder.unserved, {
+        self.assertEqual(self.forwarder.unserved_ranges, {
             'x': [(1, 2)],
             'y': [(7, 9)]
         })
-        self.assertEqual(self.forwarder.states['s1'].shared_ms, 30.0)
-        self.assertEqual(self.forwarder.states['s2'].shared_ms, 70.0)
+        self.assertEqual(self.forwarder.server_states['s1'].shared_work_ms,
+                         30.0)
+        self.assertEqual(self.forwarder.server_states['s2'].shared_work_ms,
+                         70.0)
 
     def test_what_a_lost_one_told_of_its_service_is_forgotten(self):
         reporting.exchange_reports(self.reporter)
         del self.replies['a:1']
         reporting.exchange_reports(self.reporter)
-        self.assertEqual(self.forwarder.unserved, {'y': [(7, 9)]})
+        self.assertEqual(self.forwarder.unserved_ranges, {'y': [(7, 9)]})
 
     def test_what_a_lost_one_told_to_be_blocked_stays_blocked(self):
         reporting.exchange_reports(self.reporter)
@@ -516,10 +520,10 @@
 class MeasuresTest(unittest.TestCase):
 
     def test_counts_and_times_are_shown(self):
-        found = measures.Measures(clocks.Clock())
-        found.note('answered', '200', 12.0)
-        found.note('not-run', 'overloaded', 0.0)
-        text = found.show({'entries': 3.0}).decode()
+        found = requestmetrics.RequestMetrics(clocks.Clock())
+        found.record('answered', '200', 12.0)
+        found.record('not-run', 'overloaded', 0.0)
+        text = found.render({'entries': 3.0}).decode()
         self.assertIn(
             'lentilmoor_requests_total{outcome="answered",reason="200"} 1.0',
             text)
