--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -103,19 +103,19 @@
                 'open_lease.return_value': ports.Lease(1, 1_500.0),
                 'register.return_value': None,
                 'keep_lease.return_value': None,
-                'take_role.return_value': None,
+                'claim_coordination.return_value': None,
                 'load_assignment.return_value': None,
                 'save.side_effect': self._save,
-                'tell_news.return_value': b'',
-                'find_silence.return_value': 0.0
+                'encode_news.return_value': b'',
+                'find_unanswered_ms.return_value': 0.0
             })
         settings = ports.Settings('e0', 'd', '', '', 'h:1', '', (), 2.0, 200.0,
                                   _BOUNDS)
-        servers = ports.Servers(self._grant, self._release, self._probe)
+        servers = ports.ServerCalls(self._grant, self._release, self._probe)
         logger = logs.make_logger(_HUB, io.StringIO())
         platform = ports.Platform(settings, store, servers, None)
         forwarder = requests.Forwarder(clock, platform, logger, None)
-        staleness.note_known(forwarder.freshness, math.inf, math.inf)
+        staleness.record_known_times(forwarder.freshness, math.inf, math.inf)
         return forwarder, control.Control(self.owned,
                                           forwarder,
                                           platform,
@@ -260,7 +260,8 @@
                            {SERVICE: fence}))
 
 
-def _make_everything(entries: int, keyed: int, others: int) -> ports.Everything:
+def _make_everything(entries: int, keyed: int,
+                     others: int) -> ports.StoreSnapshot:
     services = {
         SERVICE: tables.Service(SERVICE, True, 400, 5_000.0),
         'files': tables.Service('files', False, 400, 0.0)
@@ -276,7 +277,7 @@
         f'e{number}.1': ports.Peer(f'e{number}.1', f'h{number}:1')
         for number in range(entries)
     }
-    return ports.Everything(
+    return ports.StoreSnapshot(
         tables.Configuration(1, {}, services, tables.CallerLimits()), servers,
         {SERVICE: peers[_HUB]}, {}, peers, 1)
 
--- a/benchmarks/edge_spread.py
+++ b/benchmarks/edge_spread.py
@@ -166,11 +166,11 @@
     """Has each entry watch the store by itself."""
     known = {
         address:
-            fleet.random.uniform(0, LIMITS.follow_pause_ms) + FAR_MS +
+            fleet.random.uniform(0, LIMITS.watch_pause_ms) + FAR_MS +
             SMALL_WORK_MS for address in fleet.alive
     }
     heartbeats = _kbps(ENTRY_BYTES * _find_servers(fleet), HEARTBEAT_MS)
-    return known, _make_result(known, 1_000.0 / LIMITS.follow_pause_ms, 0.0,
+    return known, _make_result(known, 1_000.0 / LIMITS.watch_pause_ms, 0.0,
                                heartbeats)
 
 
@@ -223,7 +223,7 @@
                 0, reporting.REPORT_MS)
             known[address] = fleet.carry(fleet.hub, address, asked, size)
     _tell_children(fleet, places, known, size)
-    reply = _kbps(EMPTY_BYTES, LIMITS.hold_ms)
+    reply = _kbps(EMPTY_BYTES, LIMITS.poll_wait_ms)
     direct = sum(place is None or place.relay for place in places.values())
     most = max(relays.FANOUT if any(places.values()) else 0,
                direct * fleet.scene.domains / SHOWN_DOMAINS)
@@ -275,18 +275,18 @@
 
 def _draw_waste(fleet: Fleet, lost: int) -> float:
     """Returns how long lost parents hold up an entry that asks them, ms."""
-    limit_ms = LIMITS.hold_ms + LIMITS.ask_ms
+    limit_ms = LIMITS.poll_wait_ms + LIMITS.poll_reply_ms
     if not lost:
         return 0.0
     return lost * limit_ms - fleet.random.uniform(0, limit_ms)
 
 
 def _find_look(fleet: Fleet) -> float:
-    return fleet.random.uniform(0, LIMITS.lead_pause_ms) + FAR_MS
+    return fleet.random.uniform(0, LIMITS.hub_watch_pause_ms) + FAR_MS
 
 
 def _find_hub_calls(fleet: Fleet) -> float:
-    return 1_000.0 / LIMITS.lead_pause_ms / len(fleet.peers)
+    return 1_000.0 / LIMITS.hub_watch_pause_ms / len(fleet.peers)
 
 
 def _make_result(known: dict[str, float], calls: float, sent: float,
--- a/lentilmoor/edge/beliefs.py
+++ b/lentilmoor/edge/beliefs.py
@@ -87,7 +87,7 @@
     """
 
     instance: str
-    everything: ports.Everything | None = None
+    everything: ports.StoreSnapshot | None = None
     lost_at: float = 0.0
     back_at: float = float('-inf')
     servers: dict[str, tables.Server] = dataclasses.field(default_factory=dict)
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -63,10 +63,10 @@
     Attributes:
       everything: What it holds.
       heard: Whether another entry told it.
-      number: Of the change (see `staleness.hand_over`).
+      number: Of the change (see `staleness.add_pending_change`).
     """
 
-    everything: ports.Everything
+    everything: ports.StoreSnapshot
     heard: bool = False
     number: int = 0
 
@@ -166,7 +166,7 @@
         self._wake = wake
         self._stepped_at = float('-inf')
         # What the store lists, with servers that are left out for now.
-        self._listed: ports.Everything | None = None
+        self._listed: ports.StoreSnapshot | None = None
         self._owned = owned
         self._forwarder = forwarder
         self._logger = logger
@@ -194,7 +194,7 @@
             message.take()
         elif isinstance(message, StoreSeen):
             self._take_store(message.everything, message.heard)
-            staleness.note_applied(self._forwarder.freshness, message.number)
+            staleness.mark_applied(self._forwarder.freshness, message.number)
         elif isinstance(message, StoreLost):
             self._take_loss(message.reason)
         elif isinstance(message, Reported):
@@ -270,7 +270,7 @@
 
         (pool or self._store_calls).submit(run)
 
-    def _take_store(self, everything: ports.Everything, heard: bool) -> None:
+    def _take_store(self, everything: ports.StoreSnapshot, heard: bool) -> None:
         owned, now = self._owned, self._clock.now()
         if owned.everything and everything.revision < owned.everything.revision:
             return
@@ -303,13 +303,14 @@
         elections.follow_rivals(self._context)
         self._publish()
 
-    def _take_restore(self, before: ports.Everything) -> None:
+    def _take_restore(self, before: ports.StoreSnapshot) -> None:
         """Keeps or writes again what a restored store may have lost."""
         owned = self._owned
         elections.keep_assignments(owned, before)
         leases.drop_lost(owned)
 
-    def _take_servers(self, everything: ports.Everything, now: float) -> None:
+    def _take_servers(self, everything: ports.StoreSnapshot,
+                      now: float) -> None:
         owned = self._owned
         ended_before = set(owned.ended)
         lifetimes.end_predecessors(owned, everything)
@@ -339,9 +340,10 @@
         """
         forwarder = self._forwarder
         freshness = forwarder.freshness
-        if now - freshness.away_at <= forwarder.limits.seek_ms:
+        if (now - freshness.store_unavailable_at
+                <= forwarder.limits.refresh_age_ms):
             return now
-        return staleness.find_applied(freshness).servers_at
+        return staleness.find_applied_times(freshness).servers_at
 
     def _note_draining(self, servers: list[str]) -> None:
         """Marks servers as draining that an entry reported as such."""
@@ -369,8 +371,8 @@
                                    draining=True,
                                    draining_at=draining_at)
 
-    def _log_servers(self, before: ports.Everything | None,
-                     everything: ports.Everything, heard: bool) -> None:
+    def _log_servers(self, before: ports.StoreSnapshot | None,
+                     everything: ports.StoreSnapshot, heard: bool) -> None:
         """Tells of servers that changed.
 
         Each is told by who read the store; the others name them in one line,
@@ -401,8 +403,8 @@
                                   draining=server.draining,
                                   revision=revisions.show(everything.revision))
 
-    def _leave_out_unconfigured(self,
-                                found: ports.Everything) -> ports.Everything:
+    def _leave_out_unconfigured(
+            self, found: ports.StoreSnapshot) -> ports.StoreSnapshot:
         """Leaves out entries of servers whose service nobody configured.
 
         Such an entry may name the address of a server that is up, and must not
@@ -509,7 +511,8 @@
     return dataclasses.replace(server, draining_at=known_at)
 
 
-def _is_restored(before: ports.Everything, found: ports.Everything) -> bool:
+def _is_restored(before: ports.StoreSnapshot,
+                 found: ports.StoreSnapshot) -> bool:
     """Returns whether the store was restored between two reads."""
     return (revisions.find_era(found.revision)
             > revisions.find_era(before.revision))
@@ -524,8 +527,8 @@
     return min(TICK_MS, max(STEP_MS, STEP_PER_SERVER_MS * servers))
 
 
-def _keep_newer(before: ports.Everything | None,
-                found: ports.Everything) -> ports.Everything:
+def _keep_newer(before: ports.StoreSnapshot | None,
+                found: ports.StoreSnapshot) -> ports.StoreSnapshot:
     """Returns what was found, with the newer of both configurations."""
     known = before.configuration if before is not None else None
     if known is None or (found.configuration is not None and
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -155,7 +155,8 @@
         [owned.heard.get(name), assignment])
 
 
-def keep_assignments(owned: beliefs.Beliefs, before: ports.Everything) -> None:
+def keep_assignments(owned: beliefs.Beliefs,
+                     before: ports.StoreSnapshot) -> None:
     """Keeps what was known of assignments, as a restored store may lack it.
 
     Args:
@@ -192,7 +193,7 @@
         lease = store.open_lease(ownership.LEASE_MS)
         if isinstance(lease, outcomes.Failed):
             return lease
-    taken = store.take_role(name, context.peer, lease, replaced)
+    taken = store.claim_coordination(name, context.peer, lease, replaced)
     if isinstance(taken, outcomes.Failed):
         return taken
     return lease, sent_at
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -188,7 +188,8 @@
     callers = listening.make_listener(
         platform.settings.callers,
         listening.make_caller_gateway(
-            platform.dialect, functools.partial(forwarding.forward, forwarder),
+            platform.header_format,
+            functools.partial(forwarding.forward, forwarder),
             functools.partial(_note, entry), entry.count,
             lambda: _find_limits(entry).body_bytes, clock), CALLER_THREADS,
         log_error)
@@ -260,10 +261,11 @@
         'news_age_ms':
             requests.find_news_age(entry.forwarder),
         'configuration_age_ms':
-            requests.find_age(entry.forwarder,
-                              entry.forwarder.freshness.known.configuration_at),
+            requests.find_age(
+                entry.forwarder,
+                entry.forwarder.freshness.known_times.configuration_at),
         'unapplied_changes':
-            float(len(entry.forwarder.freshness.handed)),
+            float(len(entry.forwarder.freshness.pending_changes)),
         'suspected_requests':
             float(len(entry.forwarder.suspects.suspects)),
         'quarantined_requests':
@@ -366,8 +368,8 @@
     return 200, reports.encode_permit(reply), 'application/json'
 
 
-def _take_store(entry: Entry, found: ports.Everything, heard: bool) -> None:
-    number = staleness.hand_over(entry.forwarder.freshness)
+def _take_store(entry: Entry, found: ports.StoreSnapshot, heard: bool) -> None:
+    number = staleness.add_pending_change(entry.forwarder.freshness)
     entry.actor.tell(control.StoreSeen(found, heard, number))
     if found.configuration is None:
         return
--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -70,7 +70,7 @@
     """
 
     answer: tries.Answer
-    fields: ports.AnswerFields
+    fields: ports.AnswerHeaders
     opened_at: float = math.inf
 
 
@@ -101,7 +101,7 @@
 
 
 Result = Reply | Gone | NotSent | Withheld | outcomes.Unknown
-ReadAnswer = Callable[[int, Mapping[str, str]], ports.AnswerFields]
+ReadAnswer = Callable[[int, Mapping[str, str]], ports.AnswerHeaders]
 
 
 class Event(enum.Enum):
@@ -217,7 +217,7 @@
       pool: Connections to the server.
       order: What to send.
       watch: Watches the caller.
-      read_answer: Reads the headers of an answer (see `ports.Dialect`).
+      read_answer: Reads the headers of an answer (see `ports.HeaderFormat`).
       clock: Time.
     """
     taken = pool.take(order.repeatable, False, order.until - clock.now())
@@ -278,7 +278,7 @@
         response.read(decode_content=False)
         response = _read_next(taken, order.method)
         fields = read_answer(response.status, response.headers)
-        fields = dataclasses.replace(fields, closes=True)
+        fields = dataclasses.replace(fields, closes_connection=True)
     else:
         pool.drop(taken)
         return outcomes.Unknown(_Reason.ANSWER_CUT, 'only answers to others')
@@ -308,7 +308,7 @@
 
 def _read_body(pool: connections.Pool, taken: connections.Connection,
                order: Order, response: urllib3.HTTPResponse,
-               fields: ports.AnswerFields) -> Result:
+               fields: ports.AnswerHeaders) -> Result:
     headers = [(name, value)
                for name, value in response.headers.items()
                if name.lower() not in header_names.HOP_BY_HOP]
@@ -321,9 +321,9 @@
             item for item in headers if item[0].lower() != 'content-length'
         ]
         headers.append(('Content-Length', str(len(body))))
-    if framed and not fields.closes and _is_clean(taken):
-        if fields.kept_ms is not None:
-            taken.kept_ms = fields.kept_ms
+    if framed and not fields.closes_connection and _is_clean(taken):
+        if fields.keep_alive_ms is not None:
+            taken.keep_alive_ms = fields.keep_alive_ms
         pool.put_back(taken)
     else:
         pool.drop(taken)
--- a/lentilmoor/edge/following.py
+++ b/lentilmoor/edge/following.py
@@ -59,7 +59,7 @@
     hangs = _hangs(follower)
     silence_ms = _find_silence(follower, counts_relays=not hangs)
     limits = follower.reporter.forwarder.limits
-    if not follower.begun or silence_ms >= limits.seek_ms:
+    if not follower.begun or silence_ms >= limits.refresh_age_ms:
         _begin(follower)
     elif hangs:
         _begin(follower, reads=False)
@@ -85,7 +85,7 @@
     now = follower.clock.now()
     silence_ms = min(_find_silence(follower, counts_relays=True),
                      now - follower.began_at)
-    if silence_ms < follower.reporter.forwarder.limits.silent_ms:
+    if silence_ms < follower.reporter.forwarder.limits.silence_timeout_ms:
         return
     what, since = follower.doing
     follower.logger.warning('following_silent',
@@ -222,7 +222,7 @@
     elif what == 'configuration' and not behind:
         knowledge.note_newest(follower, seen.revision)
     # When the store answered isn't known, only that it was after it was asked.
-    staleness.note_known(
+    staleness.record_known_times(
         forwarder.freshness,
         servers_at=-math.inf if what == 'configuration' else asked_at,
         configuration_at=(asked_at if not behind and
@@ -241,8 +241,8 @@
 
 
 def _note_read(follower: knowledge.Follower, doing: tuple[str, float],
-               seen: ports.Everything | None,
-               found: ports.Everything | outcomes.Failed) -> None:
+               seen: ports.StoreSnapshot | None,
+               found: ports.StoreSnapshot | outcomes.Failed) -> None:
     """Tells of a read of the store that failed or was slow.
 
     Another thread may follow by now: `follower.doing` is what that one is at.
@@ -286,20 +286,22 @@
     forwarder, place = follower.reporter.forwarder, follower.place
     limits = forwarder.limits
     heard_ms = follower.clock.now() - min(
-        forwarder.heard.seen_at, forwarder.freshness.known.configuration_at)
+        forwarder.heard.seen_at,
+        forwarder.freshness.known_times.configuration_at)
     leads = any(peer.address == follower.own.address
                 for peer in reporting.find_hubs(follower.reporter))
     if leads or place is None and not _is_settled(forwarder.snapshot):
-        return limits.lead_pause_ms
+        return limits.hub_watch_pause_ms
     if _is_leaf(follower):
         chosen = forwarder.generator.random() * len(
             forwarder.snapshot.entries) < LOOKERS
-        return 0.0 if heard_ms >= limits.look_ms and chosen else NEVER_MS
-    if heard_ms < limits.seek_ms:
+        return (0.0 if heard_ms >= limits.store_check_age_ms and chosen else
+                NEVER_MS)
+    if heard_ms < limits.refresh_age_ms:
         return TOLD_PAUSE_MS if place is None else NEVER_MS
     if heard_ms < LOST_HUB_MS:
-        return limits.lead_pause_ms
-    return limits.follow_pause_ms
+        return limits.hub_watch_pause_ms
+    return limits.watch_pause_ms
 
 
 def _is_settled(snapshot: tables.Snapshot) -> bool:
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -82,7 +82,7 @@
                                picks.FULL_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
-    patience_ms = request.fields.patience_ms or PATIENCE_MS
+    patience_ms = request.fields.timeout_ms or PATIENCE_MS
     until = request.arrived_at + min(patience_ms - WAY_BACK_MS,
                                      route.timeout_ms)
     run = requests.Run(request, route, service, until)
@@ -133,7 +133,7 @@
 
 
 def _find_wait_end(request: requests.Request) -> float:
-    patience_ms = request.fields.patience_ms or PATIENCE_MS
+    patience_ms = request.fields.timeout_ms or PATIENCE_MS
     return request.arrived_at + START_WAIT_PART * patience_ms
 
 
@@ -145,7 +145,7 @@
         left_ms = until - forwarder.clock.now()
         if left_ms <= 0:
             return False
-        staleness.await_change(forwarder.freshness, min(left_ms, AWAIT_MS))
+        staleness.wait_for_change(forwarder.freshness, min(left_ms, AWAIT_MS))
     return True
 
 
@@ -241,23 +241,23 @@
                 _check_departure(forwarder, run, choice) is not None or
                 _check_blocked(forwarder, run) is not None):
             return None
-        if requests.find_news_age(forwarder) > forwarder.limits.send_ms:
+        if requests.find_news_age(forwarder) > forwarder.limits.max_send_age_ms:
             _log_outdated(forwarder, request, 'sent_by_old_copy')
         _log_if_unavailable(forwarder, run, server, state)
         ratelimits.note_sent(forwarder.rate_limits, server.id, bool(run.sent),
                              forwarder.clock.now(), forwarder.logger)
         headers = dict(request.headers)
         run.server, run.sent_at = server.id, forwarder.clock.now()
-        forwarder.platform.dialect.mark(headers, server.name or server.id,
-                                        until - run.sent_at)
+        forwarder.platform.header_format.add_server_headers(
+            headers, server.name or server.id, until - run.sent_at)
         return headers
 
     order = exchange.Order(request.fields.request_id, request.method,
                            request.target, make_headers, request.body,
                            run.repeatable, until)
-    result = exchange.send(pool, order, request.watch,
-                           forwarder.platform.dialect.read_answer,
-                           forwarder.clock)
+    result = exchange.send(
+        pool, order, request.watch,
+        forwarder.platform.header_format.parse_answer_headers, forwarder.clock)
     now = forwarder.clock.now()
     run.server = ''
     if isinstance(result, exchange.Gone):
@@ -295,7 +295,7 @@
     if now - forwarder.outdated_logged_at < OUTDATED_LOG_INTERVAL_MS:
         return
     forwarder.outdated_logged_at = now
-    applied = staleness.find_applied(forwarder.freshness)
+    applied = staleness.find_applied_times(forwarder.freshness)
     forwarder.logger.info(event,
                           request=request.fields.request_id,
                           servers_age_ms=round(
@@ -303,8 +303,8 @@
                           configuration_age_ms=round(
                               requests.find_age(forwarder,
                                                 applied.configuration_at)),
-                          unapplied=len(forwarder.freshness.handed),
-                          replies=len(forwarder.freshness.replies),
+                          unapplied=len(forwarder.freshness.pending_changes),
+                          replies=len(forwarder.freshness.unreachable_reports),
                           age_ms=round(now - request.arrived_at))
 
 
--- a/lentilmoor/edge/knowledge.py
+++ b/lentilmoor/edge/knowledge.py
@@ -60,10 +60,10 @@
     store: ports.Store
     clock: clocks.Clock
     logger: logs.Logger
-    take: Callable[[ports.Everything, bool], None]
+    take: Callable[[ports.StoreSnapshot, bool], None]
     lose: Callable[[outcomes.Reason], None]
     begun: int = 0
-    seen: ports.Everything | None = None
+    seen: ports.StoreSnapshot | None = None
     began_at: float = float('-inf')
     doing: tuple[str, float] = ('', 0.0)
     whole: bool = True
@@ -88,7 +88,7 @@
         default_factory=lambda: threading.Semaphore(MOST_HELD))
 
 
-def find_version(seen: ports.Everything) -> int:
+def find_version(seen: ports.StoreSnapshot) -> int:
     """Returns the version of the configuration in force; 0 if there is none."""
     return seen.configuration.version if seen.configuration else 0
 
@@ -99,7 +99,7 @@
             find_version(follower.seen) < follower.wanted)
 
 
-def take(follower: Follower, found: ports.Everything, heard: bool) -> None:
+def take(follower: Follower, found: ports.StoreSnapshot, heard: bool) -> None:
     """Takes in what is known now, unless more is known already.
 
     Args:
@@ -126,7 +126,8 @@
     until = follower.clock.now() + hold_ms
     try:
         with follower.changed:
-            while follower.seen is None or follower.seen.news <= revision:
+            while (follower.seen is None or
+                   follower.seen.required_revision <= revision):
                 left_ms = until - follower.clock.now()
                 if left_ms <= 0:
                     return
@@ -135,7 +136,7 @@
         follower.held.release()
 
 
-def _note_seen(follower: Follower, found: ports.Everything) -> None:
+def _note_seen(follower: Follower, found: ports.StoreSnapshot) -> None:
     follower.seen = found
     forwarder = follower.reporter.forwarder
     forwarder.followed = found.revision
@@ -182,7 +183,7 @@
     return True
 
 
-def _note_times(follower: Follower, seen: ports.Everything,
+def _note_times(follower: Follower, seen: ports.StoreSnapshot,
                 heard: tables.News) -> None:
     """Notes up to when what is known is complete, as another told.
 
@@ -194,7 +195,7 @@
     forwarder = follower.reporter.forwarder
     if newest:
         note_newest(follower, heard.configuration_revision)
-    staleness.note_known(
+    staleness.record_known_times(
         forwarder.freshness,
         heard.seen_at,
         configuration_at=heard.configuration_at if newest else -math.inf)
@@ -217,8 +218,8 @@
             >= follower.seen.revision)
 
 
-def merge_news(follower: Follower, seen: ports.Everything,
-               heard: tables.News) -> ports.Everything | None:
+def merge_news(follower: Follower, seen: ports.StoreSnapshot,
+               heard: tables.News) -> ports.StoreSnapshot | None:
     """Returns what is known with the hub's news; None if it can't be used.
 
     News that begin later than what is known would leave a gap: an entry once
@@ -235,7 +236,7 @@
         return merged
     follower.logger.info('news_heard',
                          revision=revisions.show(merged.revision),
-                         news=revisions.show(merged.news),
+                         news=revisions.show(merged.required_revision),
                          age_ms=round(follower.clock.now() - heard.seen_at))
     take(follower, merged, True)
     return merged
--- a/lentilmoor/edge/leases.py
+++ b/lentilmoor/edge/leases.py
@@ -49,7 +49,7 @@
     """
     store = context.platform.store
     known_era = revisions.find_era(context.owned.everything.revision)
-    return store.find_silence() == 0.0 and store.find_era() <= known_era
+    return store.find_unanswered_ms() == 0.0 and store.find_era() <= known_era
 
 
 def _call(context: beliefs.Context, lease: ports.Lease, ends: bool,
@@ -147,7 +147,7 @@
     """
     owned, now = context.owned, context.clock.now()
     heard_ms = now - context.forwarder.heard.seen_at
-    if not owned.lost_at or heard_ms >= context.forwarder.limits.seek_ms:
+    if not owned.lost_at or heard_ms >= context.forwarder.limits.refresh_age_ms:
         return
     context.logger.info('store_regained',
                         away_ms=round(now - owned.lost_at),
--- a/lentilmoor/edge/lifetimes.py
+++ b/lentilmoor/edge/lifetimes.py
@@ -17,7 +17,7 @@
 
 
 def end_predecessors(owned: beliefs.Beliefs,
-                     everything: ports.Everything) -> None:
+                     everything: ports.StoreSnapshot) -> None:
     """Notes whose processes have ended, as others are in their place.
 
     An entry that comes back after its process has ended was written late, and
@@ -42,7 +42,7 @@
 
 
 def take_back_ends(owned: beliefs.Beliefs,
-                   everything: ports.Everything) -> list[str]:
+                   everything: ports.StoreSnapshot) -> list[str]:
     """Takes servers for up that are listed alone at their address.
 
     Only those that don't tell when they started: a late entry, of a process
@@ -65,7 +65,7 @@
     return found
 
 
-def doubt_returned(owned: beliefs.Beliefs, everything: ports.Everything,
+def doubt_returned(owned: beliefs.Beliefs, everything: ports.StoreSnapshot,
                    now: float) -> None:
     """Notes which servers had left and are listed again by a restored store.
 
@@ -80,7 +80,7 @@
 
 
 def leave_out_unproven(owned: beliefs.Beliefs,
-                       everything: ports.Everything) -> ports.Everything:
+                       everything: ports.StoreSnapshot) -> ports.StoreSnapshot:
     """Leaves out servers whose entry may be that of a process that has left."""
     if not owned.unproven:
         return everything
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -119,8 +119,9 @@
     return log_error
 
 
-def make_caller_gateway(dialect: ports.Dialect, forward: Forward, note: Note,
-                        count: shutdowns.RequestCount, limit: Callable[[], int],
+def make_caller_gateway(dialect: ports.HeaderFormat, forward: Forward,
+                        note: Note, count: shutdowns.RequestCount,
+                        limit: Callable[[], int],
                         clock: clocks.Clock) -> type[cheroot_server.Gateway]:
     """Returns the gateway class for callers.
 
@@ -201,24 +202,24 @@
     return PageGateway
 
 
-def _read_request(request: cheroot_server.HTTPRequest, dialect: ports.Dialect,
-                  limit: int,
+def _read_request(request: cheroot_server.HTTPRequest,
+                  dialect: ports.HeaderFormat, limit: int,
                   clock: clocks.Clock) -> requests.Request | outcomes.NotRun:
     arrived_at = clock.now()
     body = _read_body(request, limit)
     if isinstance(body, outcomes.NotRun):
         return body
     path, _, _ = request.uri.partition(b'?')
-    return requests.Request(fields=dialect.read_caller(request.inheaders),
-                            method=request.method.decode('latin-1'),
-                            host=request.inheaders.get(b'Host',
-                                                       b'').decode('latin-1'),
-                            path=path.decode('latin-1'),
-                            target=request.uri.decode('latin-1'),
-                            headers=_copy_headers(request, dialect, body),
-                            body=body,
-                            watch=exchange.CallerWatch(request.conn.socket),
-                            arrived_at=arrived_at)
+    return requests.Request(
+        fields=dialect.parse_caller_headers(request.inheaders),
+        method=request.method.decode('latin-1'),
+        host=request.inheaders.get(b'Host', b'').decode('latin-1'),
+        path=path.decode('latin-1'),
+        target=request.uri.decode('latin-1'),
+        headers=_copy_headers(request, dialect, body),
+        body=body,
+        watch=exchange.CallerWatch(request.conn.socket),
+        arrived_at=arrived_at)
 
 
 def _read_body(request: cheroot_server.HTTPRequest,
@@ -258,9 +259,9 @@
     return None
 
 
-def _copy_headers(request: cheroot_server.HTTPRequest, dialect: ports.Dialect,
-                  body: bytes) -> dict[str, str]:
-    dropped = dialect.dropped
+def _copy_headers(request: cheroot_server.HTTPRequest,
+                  dialect: ports.HeaderFormat, body: bytes) -> dict[str, str]:
+    dropped = dialect.dropped_headers
     listed = request.inheaders.get(b'Connection')
     if listed:
         dropped = dropped | frozenset(
--- a/lentilmoor/edge/picks.py
+++ b/lentilmoor/edge/picks.py
@@ -118,7 +118,7 @@
     if leaves_at is None:
         return False
     bounds = forwarder.platform.settings.bounds
-    last = leaves_at + bounds.drain_ms - forwarder.limits.leave_ms
+    last = leaves_at + bounds.drain_ms - forwarder.limits.last_request_margin_ms
     return forwarder.clock.now() >= last
 
 
--- a/lentilmoor/edge/ports.py
+++ b/lentilmoor/edge/ports.py
@@ -18,8 +18,8 @@
 
 # Below these a machine is small: on its link grants would wait behind replies
 # to the reports of many entries, until servers hold no keys.
-SMALL_MBPS = 50.0
-SMALL_CORES = 0.5
+MIN_COORDINATOR_LINK_MBPS = 50.0
+MIN_COORDINATOR_CORES = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,7 +80,8 @@
     @property
     def small(self) -> bool:
         """Whether the machine is too small to coordinate many entries."""
-        return self.link_mbps < SMALL_MBPS or self.cores < SMALL_CORES
+        return (self.link_mbps < MIN_COORDINATOR_LINK_MBPS or
+                self.cores < MIN_COORDINATOR_CORES)
 
     @property
     def limits(self) -> staleness.Limits:
@@ -140,7 +141,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Everything:
+class StoreSnapshot:
     """All that the store holds for an entry.
 
     Attributes:
@@ -161,7 +162,7 @@
     assignments: Mapping[str, SavedAssignment]
     entries: Mapping[str, Peer]
     revision: int
-    news: int = 0
+    required_revision: int = 0
     suspects: Mapping[str,
                       SavedSuspect] = dataclasses.field(default_factory=dict)
 
@@ -222,31 +223,32 @@
       count_calls: How many calls were made, by kind.
     """
 
-    load: Callable[[], Everything | outcomes.Failed]
-    load_configuration: Callable[[], Everything | outcomes.Failed]
+    load: Callable[[], StoreSnapshot | outcomes.Failed]
+    load_configuration: Callable[[], StoreSnapshot | outcomes.Failed]
     list_entries: Callable[[], list[Peer] | outcomes.Failed]
-    watch: Callable[[Everything], Everything | outcomes.Failed]
+    watch: Callable[[StoreSnapshot], StoreSnapshot | outcomes.Failed]
     open_lease: Callable[[float], Lease | outcomes.Failed]
     keep_lease: Callable[[Lease], None | outcomes.Failed]
     end_lease: Callable[[Lease], None | outcomes.Failed]
-    take_role: Callable[[str, Peer, Lease, int], None | outcomes.Failed]
+    claim_coordination: Callable[[str, Peer, Lease, int],
+                                 None | outcomes.Failed]
     register: Callable[[Peer, Lease], None | outcomes.Failed]
     load_assignment: Callable[[str], SavedAssignment | None | outcomes.Failed]
-    tell_news: Callable[[int, float, int | None], bytes | None]
-    merge_news: Callable[[bytes, int], Everything | None]
+    encode_news: Callable[[int, float, int | None], bytes | None]
+    merge_news: Callable[[bytes, int], StoreSnapshot | None]
     dump: Callable[[int], bytes]
-    restore: Callable[[bytes], Everything | None]
+    restore: Callable[[bytes], StoreSnapshot | None]
     save: Callable[[keyranges.Assignment, int], int | outcomes.Failed]
     save_suspect: Callable[[SavedSuspect], None | outcomes.Failed]
-    forget_suspect: Callable[[SavedSuspect], None | outcomes.Failed]
-    find_silence: Callable[[], float]
+    delete_suspect: Callable[[SavedSuspect], None | outcomes.Failed]
+    find_unanswered_ms: Callable[[], float]
     find_era: Callable[[], int]
     on_restore: Callable[[Callable[[], None]], None]
     count_calls: Callable[[], dict[str, int]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Servers:
+class ServerCalls:
     """Control calls to backend servers.
 
     Attributes:
@@ -262,7 +264,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class CallerFields:
+class CallerHeaders:
     """What a caller's headers say.
 
     Attributes:
@@ -272,7 +274,7 @@
     """
 
     request_id: str
-    patience_ms: float | None
+    timeout_ms: float | None
     key: int | None
 
 
@@ -292,7 +294,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerFields:
+class AnswerHeaders:
     """What the headers of a server's answer say.
 
     Attributes:
@@ -311,17 +313,17 @@
 
     request_id: str
     not_run: bool
-    proven: bool
+    has_proof: bool
     load: ServerLoad | None
-    kept_ms: float | None
-    closes: bool
+    keep_alive_ms: float | None
+    closes_connection: bool
     rate_limit: float | None = None
     draining: bool = False
     retry_after_ms: float | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Dialect:
+class HeaderFormat:
     """Names and forms of what callers and servers send.
 
     Attributes:
@@ -332,10 +334,10 @@
       dropped: Names, in lower case, that are not passed on to servers.
     """
 
-    read_caller: Callable[[Mapping[bytes, bytes]], CallerFields]
-    mark: Callable[[dict[str, str], str, float], None]
-    read_answer: Callable[[int, Mapping[str, str]], AnswerFields]
-    dropped: frozenset[str]
+    parse_caller_headers: Callable[[Mapping[bytes, bytes]], CallerHeaders]
+    add_server_headers: Callable[[dict[str, str], str, float], None]
+    parse_answer_headers: Callable[[int, Mapping[str, str]], AnswerHeaders]
+    dropped_headers: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -344,5 +346,5 @@
 
     settings: Settings
     store: Store
-    servers: Servers
-    dialect: Dialect
+    servers: ServerCalls
+    header_format: HeaderFormat
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -217,7 +217,7 @@
     forwarder = reporter.forwarder
     now, table = forwarder.clock.now(), reporter.table
     # What is told is at least as new as these say.
-    known = forwarder.freshness.known
+    known = forwarder.freshness.known_times
     configuration_revision = forwarder.configuration_revision
     revision, version = forwarder.followed, forwarder.newest_version
     hub.note_inflight(table, found.entry, found.inflight, now)
@@ -241,7 +241,7 @@
         coordinated=_tell_coordinated(reporter, found.wants_works),
         revision=revision,
         since=found.revision,
-        changes=forwarder.platform.store.tell_news(
+        changes=forwarder.platform.store.encode_news(
             found.revision,
             find_room(forwarder.platform.settings.link_mbps,
                       len(forwarder.snapshot.entries)), None),
@@ -268,7 +268,7 @@
     }
 
 
-def ask_peers(reporter: Reporter, whole: bool) -> ports.Everything | None:
+def ask_peers(reporter: Reporter, whole: bool) -> ports.StoreSnapshot | None:
     """Asks another entry what the store holds.
 
     Args:
@@ -290,7 +290,7 @@
 
 
 def ask_state(reporter: Reporter, address: str,
-              since: int) -> ports.Everything | None:
+              since: int) -> ports.StoreSnapshot | None:
     """Asks an entry what has changed in the store.
 
     Args:
--- a/lentilmoor/edge/reports.py
+++ b/lentilmoor/edge/reports.py
@@ -69,7 +69,7 @@
       coordinated: What the hub tells of services that it coordinates.
       revision: How far the hub has followed the store.
       since: The revision that the report named.
-      changes: What has changed since then (see `ports.Store.tell_news`).
+      changes: What has changed since then (see `ports.Store.encode_news`).
       news_age_ms: How long ago the hub last heard from the store.
       version: Of the newest configuration that the hub knows to be in force.
       configuration_age_ms: How long ago it knew that there was no newer one
@@ -122,7 +122,7 @@
     Attributes:
       revision: How far the one that replies has followed the store.
       since: The revision that the request named.
-      changes: What has changed since then (see `ports.Store.tell_news`).
+      changes: What has changed since then (see `ports.Store.encode_news`).
       news_age_ms: How long ago all that the store held was known.
       version: Of the newest configuration that it knows to be in force.
       held_ms: How long it waited for a change.
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -39,7 +39,7 @@
       arrived_at: ms.
     """
 
-    fields: ports.CallerFields
+    fields: ports.CallerHeaders
     method: str
     host: str
     path: str
@@ -208,7 +208,7 @@
 
 def find_news_age(forwarder: Forwarder) -> float:
     """Returns how long ago an entry knew all that the store held, ms."""
-    return find_age(forwarder, forwarder.freshness.known.servers_at)
+    return find_age(forwarder, forwarder.freshness.known_times.servers_at)
 
 
 def find_age(forwarder: Forwarder, known_at: float) -> float:
@@ -227,20 +227,22 @@
 
 def is_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be sent by what is known of servers."""
-    known_at = staleness.find_applied(forwarder.freshness).servers_at
-    return _is_usable(forwarder, known_at, forwarder.limits.send_ms)
+    known_at = staleness.find_applied_times(forwarder.freshness).servers_at
+    return _is_usable(forwarder, known_at, forwarder.limits.max_send_age_ms)
 
 
 def is_configuration_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be routed by the configuration."""
-    known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return _is_usable(forwarder, known_at, forwarder.limits.route_ms)
+    known_at = staleness.find_applied_times(
+        forwarder.freshness).configuration_at
+    return _is_usable(forwarder, known_at, forwarder.limits.max_route_age_ms)
 
 
 def may_deny(forwarder: Forwarder) -> bool:
     """Returns whether a route that isn't known certainly doesn't exist."""
-    known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return find_age(forwarder, known_at) <= forwarder.limits.deny_ms
+    known_at = staleness.find_applied_times(
+        forwarder.freshness).configuration_at
+    return find_age(forwarder, known_at) <= forwarder.limits.max_deny_age_ms
 
 
 def _is_usable(forwarder: Forwarder, known_at: float, limit_ms: float) -> bool:
@@ -249,6 +251,7 @@
 
 def is_store_away(forwarder: Forwarder) -> bool:
     """Returns whether the store seems to be away from everybody."""
-    return staleness.is_store_away(forwarder.freshness, list_others(forwarder),
-                                   forwarder.platform.store.find_silence(),
-                                   forwarder.clock.now(), forwarder.limits)
+    return staleness.is_store_unavailable(
+        forwarder.freshness, list_others(forwarder),
+        forwarder.platform.store.find_unanswered_ms(), forwarder.clock.now(),
+        forwarder.limits)
--- a/lentilmoor/edge/savedsuspects.py
+++ b/lentilmoor/edge/savedsuspects.py
@@ -11,8 +11,8 @@
 SAVE_AGAIN_MS = 1_000.0
 
 
-def take(context: beliefs.Context, before: ports.Everything | None,
-         everything: ports.Everything) -> None:
+def take(context: beliefs.Context, before: ports.StoreSnapshot | None,
+         everything: ports.StoreSnapshot) -> None:
     """Takes in blocked requests that are new in the store."""
     known = before.suspects if before else {}
     now = context.clock.now()
@@ -46,7 +46,7 @@
             owned.suspects_at = now + SAVE_AGAIN_MS
             context.logger.info('suspect_forgotten', fingerprint=name)
             context.call(
-                lambda known=known: context.platform.store.forget_suspect(known
+                lambda known=known: context.platform.store.delete_suspect(known
                                                                          ),
                 lambda result, unused_at: _note_result(context, result))
             return
--- a/lentilmoor/edge/staleness.py
+++ b/lentilmoor/edge/staleness.py
@@ -22,43 +22,43 @@
 
 # Parts of the bound.
 # Left for a request's way to the server after the last check.
-DELIVERY = 0.25
+DELIVERY_MARGIN_FRACTION = 0.25
 # Left when the last request is sent to a leaving server that alone may run it.
-LEAVE = 0.5
+LAST_REQUEST_MARGIN_FRACTION = 0.5
 # Age from which an entry asks any others for a newer copy, and relays look at
 # the store; what usually passes on the way from the store stays below it.
-SEEK = 0.5
+REFRESH_AGE_FRACTION = 0.5
 # Age from which some of those that relays tell look at the store as well.
-LOOK = 0.65
+STORE_CHECK_AGE_FRACTION = 0.65
 # A question waits so long for a change, and its reply may take so much more.
-HOLD = 0.1
-ASK = 0.2
+POLL_WAIT_FRACTION = 0.1
+POLL_REPLY_FRACTION = 0.2
 # Pause between two questions to any others.
-SEEK_PAUSE = 0.05
+REFRESH_PAUSE_FRACTION = 0.05
 # A watch waits so long for a change, and its answer may take so much more.
-WATCH = 0.2
-READ = 0.25
+WATCH_WAIT_FRACTION = 0.2
+WATCH_REPLY_FRACTION = 0.25
 # Pauses between two watches of who follows for others, and of all others.
-LEAD_PAUSE = 0.175
-FOLLOW_PAUSE = 0.4
+HUB_WATCH_PAUSE_FRACTION = 0.175
+WATCH_PAUSE_FRACTION = 0.4
 # A call that isn't answered for so long shows that the store can't be reached.
-UNANSWERED = 0.125
+UNREACHABLE_AFTER_FRACTION = 0.125
 # A reply of another entry counts for so long.
-MEMORY = 2.0
+REPLY_VALIDITY_FACTOR = 2.0
 # An entry that heard from nobody for so long begins to follow anew.
-SILENT = 1.5
+SILENCE_TIMEOUT_FACTOR = 1.5
 # Age of a copy of the configuration by which a request may be routed.
-ROUTE = 0.95
+MAX_ROUTE_AGE_FRACTION = 0.95
 
-MOST_LEAD_PAUSE_MS = 350.0
-MOST_FOLLOW_PAUSE_MS = 850.0
+MAX_HUB_WATCH_PAUSE_MS = 350.0
+MAX_WATCH_PAUSE_MS = 850.0
 # Polls and round trips don't shrink with the bound.
-LEAST_BOUND_MS = 500.0
+MIN_BOUND_MS = 500.0
 # Others that can't reach the store, at most, before it counts as away.
-ENOUGH_REPLIES = 8
+MAX_REQUIRED_REPORTS = 8
 # Pauses between questions are so much longer while the copy stays old.
-SLOW_SEEK = 2.0
-ASSUMED_BOUND_MS = 2_000.0
+SLOW_REFRESH_FACTOR = 2.0
+DEFAULT_BOUND_MS = 2_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -85,25 +85,25 @@
         that it can't be reached.
     """
 
-    send_ms: float
-    route_ms: float
-    deny_ms: float
-    leave_ms: float
-    seek_ms: float
-    seek_pause_ms: float
-    look_ms: float
-    hold_ms: float
-    ask_ms: float
-    watch_ms: float
-    read_ms: float
-    lead_pause_ms: float
-    follow_pause_ms: float
-    silent_ms: float
-    memory_ms: float
-    unanswered_ms: float
-
-
-def make_limits(drain_ms: float = ASSUMED_BOUND_MS,
+    max_send_age_ms: float
+    max_route_age_ms: float
+    max_deny_age_ms: float
+    last_request_margin_ms: float
+    refresh_age_ms: float
+    refresh_pause_ms: float
+    store_check_age_ms: float
+    poll_wait_ms: float
+    poll_reply_ms: float
+    watch_wait_ms: float
+    watch_reply_ms: float
+    hub_watch_pause_ms: float
+    watch_pause_ms: float
+    silence_timeout_ms: float
+    reply_validity_ms: float
+    unreachable_after_ms: float
+
+
+def make_limits(drain_ms: float = DEFAULT_BOUND_MS,
                 config_apply_ms: float = math.inf) -> Limits:
     """Derives the limits from the operator's bounds.
 
@@ -115,28 +115,29 @@
       SettingsError: A bound is too short to be kept.
     """
     bound = min(drain_ms, config_apply_ms)
-    if bound < LEAST_BOUND_MS:
+    if bound < MIN_BOUND_MS:
         raise exceptions.SettingsError([
-            f'bounds: {bound:g} ms, expected at least {LEAST_BOUND_MS:g} ms '
+            f'bounds: {bound:g} ms, expected at least {MIN_BOUND_MS:g} ms '
             'for draining and for applying a configuration'
         ])
-    return Limits(send_ms=drain_ms - DELIVERY * bound,
-                  route_ms=ROUTE * config_apply_ms,
-                  deny_ms=SEEK * bound,
-                  leave_ms=LEAVE * bound,
-                  seek_ms=SEEK * bound,
-                  seek_pause_ms=SEEK_PAUSE * bound,
-                  look_ms=LOOK * bound,
-                  hold_ms=HOLD * bound,
-                  ask_ms=ASK * bound,
-                  watch_ms=WATCH * bound,
-                  read_ms=READ * bound,
-                  lead_pause_ms=min(MOST_LEAD_PAUSE_MS, LEAD_PAUSE * bound),
-                  follow_pause_ms=min(MOST_FOLLOW_PAUSE_MS,
-                                      FOLLOW_PAUSE * bound),
-                  silent_ms=SILENT * bound,
-                  memory_ms=MEMORY * bound,
-                  unanswered_ms=UNANSWERED * bound)
+    return Limits(max_send_age_ms=drain_ms - DELIVERY_MARGIN_FRACTION * bound,
+                  max_route_age_ms=MAX_ROUTE_AGE_FRACTION * config_apply_ms,
+                  max_deny_age_ms=REFRESH_AGE_FRACTION * bound,
+                  last_request_margin_ms=LAST_REQUEST_MARGIN_FRACTION * bound,
+                  refresh_age_ms=REFRESH_AGE_FRACTION * bound,
+                  refresh_pause_ms=REFRESH_PAUSE_FRACTION * bound,
+                  store_check_age_ms=STORE_CHECK_AGE_FRACTION * bound,
+                  poll_wait_ms=POLL_WAIT_FRACTION * bound,
+                  poll_reply_ms=POLL_REPLY_FRACTION * bound,
+                  watch_wait_ms=WATCH_WAIT_FRACTION * bound,
+                  watch_reply_ms=WATCH_REPLY_FRACTION * bound,
+                  hub_watch_pause_ms=min(MAX_HUB_WATCH_PAUSE_MS,
+                                         HUB_WATCH_PAUSE_FRACTION * bound),
+                  watch_pause_ms=min(MAX_WATCH_PAUSE_MS,
+                                     WATCH_PAUSE_FRACTION * bound),
+                  silence_timeout_ms=SILENCE_TIMEOUT_FACTOR * bound,
+                  reply_validity_ms=REPLY_VALIDITY_FACTOR * bound,
+                  unreachable_after_ms=UNREACHABLE_AFTER_FRACTION * bound)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -168,67 +169,75 @@
       changed: Notified when a time has advanced.
     """
 
-    known: Times = Times()
-    handed: collections.deque[tuple[int, Times]] = dataclasses.field(
+    known_times: Times = Times()
+    pending_changes: collections.deque[tuple[int, Times]] = dataclasses.field(
         default_factory=collections.deque)
-    last: int = 0
-    replies: dict[str, float] = dataclasses.field(default_factory=dict)
-    recent_at: float = -math.inf
-    away_at: float = -math.inf
+    last_change_number: int = 0
+    unreachable_reports: dict[str,
+                              float] = dataclasses.field(default_factory=dict)
+    newest_peer_copy_at: float = -math.inf
+    store_unavailable_at: float = -math.inf
     changed: threading.Condition = dataclasses.field(
         default_factory=threading.Condition)
 
 
-def note_known(freshness: Freshness,
-               servers_at: float = -math.inf,
-               configuration_at: float = -math.inf) -> None:
+def record_known_times(freshness: Freshness,
+                       servers_at: float = -math.inf,
+                       configuration_at: float = -math.inf) -> None:
     """Takes in up to when the copy is complete.
 
     Changes up to then must have been handed over before.
     """
     with freshness.changed:
-        known = freshness.known
-        freshness.known = Times(max(known.servers_at, servers_at),
-                                max(known.configuration_at, configuration_at))
+        known = freshness.known_times
+        freshness.known_times = Times(
+            max(known.servers_at, servers_at),
+            max(known.configuration_at, configuration_at))
         freshness.changed.notify_all()
 
 
-def hand_over(freshness: Freshness) -> int:
+def add_pending_change(freshness: Freshness) -> int:
     """Notes a change that requests don't see yet; returns its number."""
     with freshness.changed:
-        freshness.last += 1
-        freshness.handed.append((freshness.last, freshness.known))
-        return freshness.last
+        freshness.last_change_number += 1
+        freshness.pending_changes.append(
+            (freshness.last_change_number, freshness.known_times))
+        return freshness.last_change_number
 
 
-def note_applied(freshness: Freshness, number: int) -> None:
+def mark_applied(freshness: Freshness, number: int) -> None:
     """Notes that requests see all changes up to a number."""
     with freshness.changed:
-        while freshness.handed and freshness.handed[0][0] <= number:
-            freshness.handed.popleft()
+        while freshness.pending_changes and freshness.pending_changes[0][
+                0] <= number:
+            freshness.pending_changes.popleft()
         freshness.changed.notify_all()
 
 
-def find_applied(freshness: Freshness) -> Times:
+def find_applied_times(freshness: Freshness) -> Times:
     """Returns up to when what requests see is complete."""
     with freshness.changed:
-        return freshness.handed[0][1] if freshness.handed else freshness.known
+        return freshness.pending_changes[0][
+            1] if freshness.pending_changes else freshness.known_times
 
 
-def note_unreached(freshness: Freshness, address: str, now: float) -> None:
+def record_unreachable_report(freshness: Freshness, address: str,
+                              now: float) -> None:
     """Notes that another entry said that it can't reach the store."""
     with freshness.changed:
-        freshness.replies[address] = now
+        freshness.unreachable_reports[address] = now
 
 
-def note_copy(freshness: Freshness, known_at: float) -> None:
+def record_peer_copy(freshness: Freshness, known_at: float) -> None:
     """Notes up to when the copy of another entry is complete, ms."""
     with freshness.changed:
-        freshness.recent_at = max(freshness.recent_at, known_at)
+        freshness.newest_peer_copy_at = max(freshness.newest_peer_copy_at,
+                                            known_at)
 
 
-def is_store_away(freshness: Freshness, others: Collection[str],
-                  unanswered_ms: float, now: float, limits: Limits) -> bool:
+def is_store_unavailable(freshness: Freshness, others: Collection[str],
+                         unanswered_ms: float, now: float,
+                         limits: Limits) -> bool:
     """Returns whether the store seems to be away from everybody.
 
     Args:
@@ -238,19 +247,21 @@
       now: ms.
       limits: The limits.
     """
-    needed = min(ENOUGH_REPLIES, math.ceil(len(others) / 2))
+    needed = min(MAX_REQUIRED_REPORTS, math.ceil(len(others) / 2))
     with freshness.changed:
-        answered_at = max(freshness.recent_at, freshness.known.servers_at)
-        if (unanswered_ms < limits.unanswered_ms or
-                now - answered_at < limits.seek_ms):
+        answered_at = max(freshness.newest_peer_copy_at,
+                          freshness.known_times.servers_at)
+        if (unanswered_ms < limits.unreachable_after_ms or
+                now - answered_at < limits.refresh_age_ms):
             return False
-        since = max(answered_at, now - limits.memory_ms)
-        return needed <= sum(at > since
-                             for address, at in freshness.replies.items()
-                             if address in others)
+        since = max(answered_at, now - limits.reply_validity_ms)
+        return needed <= sum(
+            at > since
+            for address, at in freshness.unreachable_reports.items()
+            if address in others)
 
 
-def await_change(freshness: Freshness, wait_ms: float) -> None:
+def wait_for_change(freshness: Freshness, wait_ms: float) -> None:
     """Waits until a time has advanced, or a time is over."""
     with freshness.changed:
         freshness.changed.wait(max(0.0, wait_ms) / clocks.MS_PER_S)
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -50,7 +50,7 @@
     """
     limits = follower.reporter.forwarder.limits
     if follower.place is None or follower.seen is None:
-        return limits.hold_ms
+        return limits.poll_wait_ms
     began = follower.clock.now()
     address = choose(follower.place, avoided, began)
     heard = _ask(follower, address, True)
@@ -60,30 +60,30 @@
         knowledge.take_news(follower, heard)
     # One that doesn't answer or knows nothing recent keeps this entry from
     # asking others.
-    if heard is None or began - heard.seen_at > limits.seek_ms:
-        avoided[address] = now + limits.seek_ms
+    if heard is None or began - heard.seen_at > limits.refresh_age_ms:
+        avoided[address] = now + limits.refresh_age_ms
     if heard is not None and heard.changes:
         return PAUSE_MS
-    return max(PAUSE_MS, limits.hold_ms - (now - began))
+    return max(PAUSE_MS, limits.poll_wait_ms - (now - began))
 
 
 def seek(follower: knowledge.Follower) -> None:
     """Asks others at random if what is known is old; returns at once."""
     forwarder, now = follower.reporter.forwarder, follower.clock.now()
-    limits, known = forwarder.limits, forwarder.freshness.known
+    limits, known = forwarder.limits, forwarder.freshness.known_times
     known_at = min(known.servers_at, known.configuration_at)
-    if follower.seen is None or now - known_at < limits.seek_ms:
+    if follower.seen is None or now - known_at < limits.refresh_age_ms:
         _note_sought(follower, now, False)
         return
-    pause_ms = limits.seek_pause_ms
-    if now - known_at > limits.silent_ms:
-        pause_ms *= staleness.SLOW_SEEK
+    pause_ms = limits.refresh_pause_ms
+    if now - known_at > limits.silence_timeout_ms:
+        pause_ms *= staleness.SLOW_REFRESH_FACTOR
     if now - follower.sought_at < pause_ms:
         return
     _note_sought(follower, now, True)
     if requests.is_store_away(forwarder):
-        forwarder.freshness.away_at = now
-    if now - follower.probed_at >= limits.read_ms:
+        forwarder.freshness.store_unavailable_at = now
+    if now - follower.probed_at >= limits.watch_reply_ms:
         # Whether the store answers tells what the others' silence means.
         follower.probed_at = now
         follower.probe()
@@ -104,7 +104,7 @@
         return
     follower.outdated, follower.sought_at = old, now
     forwarder = follower.reporter.forwarder
-    known = forwarder.freshness.known
+    known = forwarder.freshness.known_times
     follower.logger.info('copy_outdated' if old else 'copy_recent',
                          age_ms=round(
                              requests.find_age(forwarder, known.servers_at)),
@@ -174,10 +174,11 @@
         reports.NewsRequest(reporter.instance, forwarder.followed,
                             forwarder.version if lacks else None, waits))
     asked_at = follower.clock.now()
-    wait_ms = forwarder.limits.hold_ms if waits else 0.0
+    wait_ms = forwarder.limits.poll_wait_ms if waits else 0.0
     result = reporter.caller.call(address,
                                   httpcalls.Request('POST', PATH, data),
-                                  wait_ms + forwarder.limits.ask_ms, CONNECT_MS)
+                                  wait_ms + forwarder.limits.poll_reply_ms,
+                                  CONNECT_MS)
     failed = isinstance(result, outcomes.Failed)
     reply = None
     if not failed and result.status == 200:
@@ -192,10 +193,11 @@
     # What is known is as old as it was when the reply was written, and its way
     # may have taken all the time for which it wasn't held.
     replied_at = asked_at + reply.held_ms
-    staleness.note_copy(forwarder.freshness, replied_at - reply.news_age_ms)
-    if reply.unanswered_ms >= forwarder.limits.unanswered_ms:
-        staleness.note_unreached(forwarder.freshness, address,
-                                 follower.clock.now())
+    staleness.record_peer_copy(forwarder.freshness,
+                               replied_at - reply.news_age_ms)
+    if reply.unanswered_ms >= forwarder.limits.unreachable_after_ms:
+        staleness.record_unreachable_report(forwarder.freshness, address,
+                                            follower.clock.now())
     return tables.News(reply.revision, replied_at - reply.news_age_ms,
                        reply.since, reply.changes, reply.version,
                        replied_at - reply.configuration_age_ms,
@@ -215,9 +217,9 @@
     lacks = asked.version is not None and asked.version < forwarder.version
     if asked.waits and not lacks:
         knowledge.await_change(follower, asked.revision,
-                               forwarder.limits.hold_ms)
+                               forwarder.limits.poll_wait_ms)
     # What is told is at least as new as these say.
-    known = forwarder.freshness.known
+    known = forwarder.freshness.known_times
     known_at = follower.clock.now()
     configuration_revision = forwarder.configuration_revision
     seen = follower.seen
@@ -228,11 +230,11 @@
     return reports.NewsReply(
         revision=seen.revision,
         since=asked.revision,
-        changes=store.tell_news(asked.revision, room, asked.version),
+        changes=store.encode_news(asked.revision, room, asked.version),
         news_age_ms=min(known_at - known.servers_at, reports.NEVER_MS),
         version=forwarder.newest_version,
         held_ms=known_at - began,
         configuration_age_ms=min(known_at - known.configuration_at,
                                  reports.NEVER_MS),
         configuration_revision=configuration_revision,
-        unanswered_ms=store.find_silence())
+        unanswered_ms=store.find_unanswered_ms())
--- a/lentilmoor/edge/weighing.py
+++ b/lentilmoor/edge/weighing.py
@@ -52,7 +52,7 @@
     status, fields = reply.answer.status, reply.fields
     state.answered_at = now
     suspects.note_answer(forwarder, run, server, reply.opened_at,
-                         fields.proven and not fields.not_run)
+                         fields.has_proof and not fields.not_run)
     ratelimits.note_answer(forwarder.rate_limits, server.id, fields.rate_limit,
                            now, forwarder.logger)
     _note_availability(forwarder, server, state, fields, now)
@@ -64,7 +64,7 @@
             forwarder.hurry.set()
         return None
     good = status < _SERVER_FAULT
-    if status in _SUCCESS and not fields.proven:
+    if status in _SUCCESS and not fields.has_proof:
         good = False
     with forwarder.lock:
         if good:
@@ -74,7 +74,7 @@
     if good:
         _note_work(forwarder, run, server,
                    placement.find_work(took_ms, fields.load))
-    if status in _SUCCESS and not fields.proven:
+    if status in _SUCCESS and not fields.has_proof:
         run.may_have_run = True
         lost = outcomes.Unknown(_Reason.ANSWER_CUT, 'an answer without proof')
         return None if run.repeatable else lost
@@ -91,8 +91,8 @@
 
 
 def _note_availability(forwarder: requests.Forwarder, server: tables.Server,
-                       state: placement.ServerState, fields: ports.AnswerFields,
-                       now: float) -> None:
+                       state: placement.ServerState,
+                       fields: ports.AnswerHeaders, now: float) -> None:
     """Records and logs that a server is draining or requests a pause."""
     if not (fields.draining or fields.retry_after_ms):
         return
--- a/lentilmoor/platform/dialect.py
+++ b/lentilmoor/platform/dialect.py
@@ -28,15 +28,15 @@
     for name in ('Content-Length', 'Expect', _EXPECTED_SERVER, _PATIENCE_MS))
 
 
-def make_dialect() -> ports.Dialect:
+def make_dialect() -> ports.HeaderFormat:
     """Returns the platform's names and forms."""
-    return ports.Dialect(_read_caller, _mark, _read_answer, _DROPPED)
+    return ports.HeaderFormat(_read_caller, _mark, _read_answer, _DROPPED)
 
 
-def _read_caller(headers: Mapping[bytes, bytes]) -> ports.CallerFields:
+def _read_caller(headers: Mapping[bytes, bytes]) -> ports.CallerHeaders:
     request_id = headers.get(_REQUEST_ID.title().encode(), b'')
     key = _read_number(headers.get(_KEY.title().encode()))
-    return ports.CallerFields(
+    return ports.CallerHeaders(
         request_id.decode('latin-1'),
         _read_number(headers.get(_PATIENCE_MS.title().encode())),
         None if key is None else int(key))
@@ -47,15 +47,16 @@
     headers[_PATIENCE_MS] = str(max(1, int(left_ms)))
 
 
-def _read_answer(status: int, headers: Mapping[str, str]) -> ports.AnswerFields:
+def _read_answer(status: int, headers: Mapping[str,
+                                               str]) -> ports.AnswerHeaders:
     kept = _KEPT.search(headers.get('Keep-Alive', ''))
-    return ports.AnswerFields(
+    return ports.AnswerHeaders(
         request_id=headers.get(_REQUEST_ID, ''),
         not_run=_NOT_RUN in headers or status == _MISDIRECTED,
-        proven=_PROOF in headers,
+        has_proof=_PROOF in headers,
         load=_read_load(headers.get(_LOAD, '')),
-        kept_ms=int(kept[1]) * _MS_PER_S if kept else None,
-        closes='close' in headers.get('Connection', '').lower(),
+        keep_alive_ms=int(kept[1]) * _MS_PER_S if kept else None,
+        closes_connection='close' in headers.get('Connection', '').lower(),
         rate_limit=_read_nonnegative_number(headers.get(_RATE_LIMIT, '')),
         draining=headers.get(_DRAINING, '').strip() not in ('', '0'),
         retry_after_ms=_read_retry_after(status, headers))
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -25,7 +25,7 @@
 _BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError)
 
 
-def connect_servers(clock: clocks.Clock) -> ports.Servers:
+def connect_servers(clock: clocks.Clock) -> ports.ServerCalls:
     """Returns the control calls.
 
     Args:
@@ -62,7 +62,7 @@
         return _judge_reply(
             call_release(action.server.address, fields, ownership.GRANT_MS))
 
-    return ports.Servers(grant, release, probe)
+    return ports.ServerCalls(grant, release, probe)
 
 
 def _grant_over(pool: links.Links, link: links.Link, action: ownership.Grant,
--- a/lentilmoor/platform/store.py
+++ b/lentilmoor/platform/store.py
@@ -312,15 +312,18 @@
         value that takes long over it.
     """
     transfer_ms = _VALUE_MBITS / link_mbps * clocks.MS_PER_S
-    return WatchTimes(limits.watch_ms,
-                      limits.watch_ms + limits.read_ms + transfer_ms)
+    return WatchTimes(
+        limits.watch_wait_ms,
+        limits.watch_wait_ms + limits.watch_reply_ms + transfer_ms)
 
 
 def _make_watch(
     client: _Client, view: views.View, times: WatchTimes
-) -> Callable[[ports.Everything], ports.Everything | outcomes.Failed]:
+) -> Callable[[ports.StoreSnapshot], ports.StoreSnapshot | outcomes.Failed]:
 
-    def watch(before: ports.Everything) -> ports.Everything | outcomes.Failed:
+    def watch(
+            before: ports.StoreSnapshot
+    ) -> ports.StoreSnapshot | outcomes.Failed:
         if client.is_outdated(before.revision):
             return outcomes.Failed(_Reason.NOT_FOUND, 'store restored')
         query = urllib.parse.urlencode({
@@ -361,7 +364,7 @@
     client = _Client(address, clock, logger)
     view = views.View(clock, logger)
 
-    def load() -> ports.Everything | outcomes.Failed:
+    def load() -> ports.StoreSnapshot | outcomes.Failed:
         found = pages.read_all(
             lambda target: client.call('GET', target, timeout_ms=PAGE_MS))
         if isinstance(found, outcomes.Failed):
@@ -373,7 +376,7 @@
                            known=revisions.show(known))
         return view.replace(found.items, found.revision)
 
-    def load_configuration() -> ports.Everything | outcomes.Failed:
+    def load_configuration() -> ports.StoreSnapshot | outcomes.Failed:
         query = urllib.parse.urlencode({'Key': views.CONFIGURATION})
         answer = client.call('GET', f'/-/kv-key?{query}', timeout_ms=PAGE_MS)
         if isinstance(answer, outcomes.Failed):
@@ -431,19 +434,19 @@
                        open_lease=open_lease,
                        keep_lease=keep_lease,
                        end_lease=end_lease,
-                       take_role=take_role,
+                       claim_coordination=take_role,
                        register=register,
                        load_assignment=load_assignment,
-                       tell_news=view.tell_news,
+                       encode_news=view.tell_news,
                        merge_news=view.merge_news,
                        dump=view.dump,
                        restore=view.restore,
                        save=save,
                        save_suspect=functools.partial(_save_suspect, client,
                                                       clock),
-                       forget_suspect=functools.partial(_forget_suspect,
+                       delete_suspect=functools.partial(_forget_suspect,
                                                         client),
-                       find_silence=client.find_silence,
+                       find_unanswered_ms=client.find_silence,
                        find_era=lambda: client.era or 0,
                        on_restore=client.on_restore,
                        count_calls=lambda: dict(client.counts))
--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -44,7 +44,7 @@
 # What a server says of its warming up varies by the way of its heartbeats.
 WARM_SLACK_MS = 1_000.0
 
-_EMPTY = ports.Everything(None, {}, {}, {}, {}, 0)
+_EMPTY = ports.StoreSnapshot(None, {}, {}, {}, {}, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -121,7 +121,8 @@
         with self._lock:
             return self._everything.revision
 
-    def replace(self, items: Iterable[Item], revision: int) -> ports.Everything:
+    def replace(self, items: Iterable[Item],
+                revision: int) -> ports.StoreSnapshot:
         """Takes in all that the store holds.
 
         Args:
@@ -146,7 +147,8 @@
             items = sorted(gone + items, key=lambda item: item.revision)
             return self.apply(items, revision)
 
-    def apply(self, items: Iterable[Item], revision: int) -> ports.Everything:
+    def apply(self, items: Iterable[Item],
+              revision: int) -> ports.StoreSnapshot:
         """Takes in changes; returns what is known then.
 
         Args:
@@ -213,7 +215,8 @@
         return (version is not None and known is not None and
                 known.version > version and CONFIGURATION in self._items)
 
-    def merge_news(self, data: bytes, revision: int) -> ports.Everything | None:
+    def merge_news(self, data: bytes,
+                   revision: int) -> ports.StoreSnapshot | None:
         """Takes in what another entry told; None if it doesn't parse."""
         try:
             items = _read_news(data)
@@ -248,7 +251,7 @@
         ]
         return _find_last((*self._news, *saved), after)
 
-    def restore(self, data: bytes) -> ports.Everything | None:
+    def restore(self, data: bytes) -> ports.StoreSnapshot | None:
         """Returns what another entry knew; None if it knows nothing newer."""
         try:
             fields = json.loads(zlib.decompress(data))
@@ -285,8 +288,8 @@
         if len(self._deleted) > MOST_DELETED:
             self._deleted.popitem(last=False)
 
-    def _take(self, everything: ports.Everything,
-              item: Item) -> ports.Everything:
+    def _take(self, everything: ports.StoreSnapshot,
+              item: Item) -> ports.StoreSnapshot:
         """Takes one item in; the dictionaries are this call's own."""
         if item.key.startswith(SERVERS):
             if not self._put_server(everything.servers, item):
@@ -306,7 +309,9 @@
                       self._make_suspect_reader(item))
         self._note_news(item)
         return dataclasses.replace(everything,
-                                   news=max(everything.news, item.revision))
+                                   required_revision=max(
+                                       everything.required_revision,
+                                       item.revision))
 
     def _note_news(self, item: Item) -> None:
         self._told.clear()
@@ -315,8 +320,8 @@
             dropped = self._news.popleft()
             self._news_since = max(self._news_since, dropped.revision)
 
-    def _take_configuration(self, everything: ports.Everything,
-                            item: Item) -> ports.Everything:
+    def _take_configuration(self, everything: ports.StoreSnapshot,
+                            item: Item) -> ports.StoreSnapshot:
         """Takes in the configuration if its version is newer.
 
         Its revision doesn't tell, as a restored store may hold an older one.
@@ -335,7 +340,9 @@
         self._note_news(item)
         return dataclasses.replace(everything,
                                    configuration=found,
-                                   news=max(everything.news, item.revision))
+                                   required_revision=max(
+                                       everything.required_revision,
+                                       item.revision))
 
     def _read_configuration(
             self, item: Item,
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -139,10 +139,10 @@
         self.actor.stop(block=False)
         self.path.close()
 
-    def _take(self, found: ports.Everything, heard: bool) -> None:
+    def _take(self, found: ports.StoreSnapshot, heard: bool) -> None:
         if not self._fleet.ended.is_set():
             self.actor.tell(control.Returned(self._wait_if_stuck))
-            number = staleness.hand_over(self.forwarder.freshness)
+            number = staleness.add_pending_change(self.forwarder.freshness)
             self.actor.tell(control.StoreSeen(found, heard, number))
 
     def _wait_if_stuck(self) -> None:
@@ -197,7 +197,7 @@
 
     def would_deny(self) -> bool:
         """Returns whether it answers 404 for the route that was added."""
-        request = requests.Request(ports.CallerFields('r', 100.0, None), 'GET',
+        request = requests.Request(ports.CallerHeaders('r', 100.0, None), 'GET',
                                    platformhelp.HOST, NEW_PREFIX + 'x',
                                    NEW_PREFIX + 'x', {}, b'', mock.Mock(),
                                    self.forwarder.clock.now())
--- a/tests/test_edge_elections.py
+++ b/tests/test_edge_elections.py
@@ -28,7 +28,8 @@
         server = tables.Server('i-1', 'x', 'a:1', 'd', 2, False, 0.0,
                                time_.at + 3_000.0)
         larger = ports.Peer('e2', 'b:1')
-        owned.everything = ports.Everything(None, {}, {}, {}, {'e2': larger}, 1)
+        owned.everything = ports.StoreSnapshot(None, {}, {}, {}, {'e2': larger},
+                                               1)
         owned.servers = {'i-1': server}
         context = mock.Mock(owned=owned,
                             peer=ports.Peer('e1', 'a:9', small),
@@ -65,7 +66,7 @@
         # The entry of a process that was killed is listed for 9 s more.
         earlier, later = ports.Peer('e1.a', 'a:1'), ports.Peer('e1.b', 'a:1')
         owned = beliefs.Beliefs('e2.c')
-        owned.everything = ports.Everything(None, {}, {}, {}, {
+        owned.everything = ports.StoreSnapshot(None, {}, {}, {}, {
             'e1.a': earlier,
             'e1.b': later
         }, 1)
@@ -100,8 +101,8 @@
                         ports.Peer(name, 'a:1', registration_revision=revision)
                     for name, revision in registrations.items()
                 }
-                owned.everything = ports.Everything(None, {}, {}, {}, entries,
-                                                    1)
+                owned.everything = ports.StoreSnapshot(None, {}, {}, {},
+                                                       entries, 1)
                 # pylint: disable-next=protected-access
                 found = roles._is_replaced(context, 'e1.b', save_revision)
                 self.assertEqual(found, expected)
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -31,9 +31,9 @@
 _ROOM = 2**20
 
 
-def _make_everything(revision: int, version: int = 1) -> ports.Everything:
+def _make_everything(revision: int, version: int = 1) -> ports.StoreSnapshot:
     configuration = tables.Configuration(version, {}, {}, tables.CallerLimits())
-    return ports.Everything(configuration, {}, {}, {}, {}, revision)
+    return ports.StoreSnapshot(configuration, {}, {}, {}, {}, revision)
 
 
 def _start_control() -> tuple[pykka.ActorRef, requests.Forwarder]:
@@ -61,7 +61,7 @@
         self.hub, self.store = (store.connect_store(self.standin.address, clock,
                                                     logger) for _ in range(2))
         self.forwarder = requests.Forwarder(clock, None, logger, None)
-        self.taken: list[ports.Everything] = []
+        self.taken: list[ports.StoreSnapshot] = []
         self.follower = knowledge.Follower(
             ports.Peer('e1', 'a:1'),
             reporting.Reporter('e1', self.forwarder, None, None), self.store,
@@ -74,7 +74,7 @@
     def _hear(self, since: int) -> tables.News:
         known = self.hub.watch(self.hub_first)
         return tables.News(known.revision, 0.0, since,
-                           self.hub.tell_news(since, _ROOM))
+                           self.hub.encode_news(since, _ROOM))
 
     def test_news_bring_what_changed(self):
         self.standin.put('op/config', platformhelp.make_configuration(4))
@@ -97,13 +97,13 @@
     def test_what_is_too_long_ago_is_not_told(self):
         self.standin.put('op/config', platformhelp.make_configuration(4))
         self.hub.watch(self.hub_first)
-        self.assertIsNone(self.hub.tell_news(self.first.revision - 1, _ROOM))
-        self.assertIsNotNone(self.hub.tell_news(self.first.revision, _ROOM))
+        self.assertIsNone(self.hub.encode_news(self.first.revision - 1, _ROOM))
+        self.assertIsNotNone(self.hub.encode_news(self.first.revision, _ROOM))
         for number in range(views.MOST_NEWS + 5):
             self.standin.put('lentilmoor/entry/e',
                              f'["e{number}", "a:1", false]'.encode())
         self.hub.watch(self.hub_first)
-        self.assertIsNone(self.hub.tell_news(self.first.revision, _ROOM))
+        self.assertIsNone(self.hub.encode_news(self.first.revision, _ROOM))
 
     def test_what_does_not_parse_is_not_used(self):
         heard = tables.News(99, 0.0, self.first.revision, b'{"x": 1')
@@ -143,7 +143,7 @@
         knowledge.take_news(
             self.follower,
             tables.News(known.revision, 0.0, self.first.revision,
-                        self.hub.tell_news(self.first.revision, _ROOM)))
+                        self.hub.encode_news(self.first.revision, _ROOM)))
         self.assertLess(time.monotonic() - began, 0.5)
         self.assertEqual(self.taken[-1].configuration.version, 4)
         self.follower.begun = 2
@@ -159,7 +159,7 @@
         self.standin.forget()
         whole = self.hub.load()
         heard = tables.News(whole.revision, 0.0, self.first.revision,
-                            self.hub.tell_news(self.first.revision, _ROOM))
+                            self.hub.encode_news(self.first.revision, _ROOM))
         found = knowledge.merge_news(self.follower, self.first, heard)
         self.assertEqual(found.configuration.version, 5)
         self.assertFalse(found.entries)
@@ -212,9 +212,9 @@
         known = self.hub.watch(self.hub_first)
         since = self.first.revision
         self.assertIn(b'op/config',
-                      zlib.decompress(self.hub.tell_news(since, _ROOM)))
+                      zlib.decompress(self.hub.encode_news(since, _ROOM)))
         heard = tables.News(known.revision, 0.0, since,
-                            self.hub.tell_news(since, 4 * 1024), 4)
+                            self.hub.encode_news(since, 4 * 1024), 4)
         self.follower.seen, self.follower.whole = self.first, False
         knowledge.take_news(self.follower, heard)
         # What fits is known at once: a server that leaves was learned of 2.9 s
@@ -239,13 +239,13 @@
         self.standin.put('lentilmoor/entry/e', b'["e", "a:1", false]')
         self.standin.delete('lentilmoor/entry/e')
         known = self.hub.watch(self.hub_first)
-        rows = json.loads(zlib.decompress(self.hub.tell_news(since, _ROOM)))
+        rows = json.loads(zlib.decompress(self.hub.encode_news(since, _ROOM)))
         self.assertEqual([row['Key'] for row in rows],
                          ['op/config', 'lentilmoor/entry/e'])
         part = json.loads(zlib.decompress(self.hub.dump(since)))
         self.assertEqual(len(part['items']), 2)
         heard = tables.News(known.revision, 0.0, since,
-                            self.hub.tell_news(since, _ROOM))
+                            self.hub.encode_news(since, _ROOM))
         found = knowledge.merge_news(self.follower, self.first, heard)
         self.assertEqual(found.configuration.version, 6)
         self.assertFalse(found.entries)
@@ -264,14 +264,14 @@
         self.standin.put('op/config', value)
         known = self.hub.watch(self.hub_first)
         since = self.first.revision
-        told = self.hub.tell_news(since, _ROOM)
+        told = self.hub.encode_news(since, _ROOM)
         self.assertLess(len(told), len(json.dumps(value)) / 5)
-        self.assertIs(self.hub.tell_news(since, _ROOM), told)
+        self.assertIs(self.hub.encode_news(since, _ROOM), told)
         found = self.store.merge_news(told, known.revision)
         self.assertEqual(len(found.configuration.routes), 403)
         self.standin.put('op/config', platformhelp.make_configuration(5))
         known = self.hub.watch(known)
-        found = self.store.merge_news(self.hub.tell_news(since, _ROOM),
+        found = self.store.merge_news(self.hub.encode_news(since, _ROOM),
                                       known.revision)
         self.assertEqual(found.configuration.version, 5)
 
@@ -279,9 +279,9 @@
         self.standin.put('op/config', platformhelp.make_configuration(4))
         known = self.hub.watch(self.hub_first)
         after = known.revision
-        self.assertEqual(self.hub.tell_news(after, _ROOM), b'')
-        self.assertEqual(self.hub.tell_news(after, _ROOM, 4), b'')
-        found = self.store.merge_news(self.hub.tell_news(after, _ROOM, 3),
+        self.assertEqual(self.hub.encode_news(after, _ROOM), b'')
+        self.assertEqual(self.hub.encode_news(after, _ROOM, 4), b'')
+        found = self.store.merge_news(self.hub.encode_news(after, _ROOM, 3),
                                       after)
         self.assertEqual(found.configuration.version, 4)
 
@@ -289,7 +289,7 @@
         self.standin.put('op/config', platformhelp.make_configuration(4))
         known = self.hub.watch(self.hub_first)
         since = self.first.revision
-        small = self.store.merge_news(self.hub.tell_news(since, 10.0),
+        small = self.store.merge_news(self.hub.encode_news(since, 10.0),
                                       known.revision)
         self.assertEqual(small.configuration.version, 3)
         self.assertEqual(small.revision, known.revision)
@@ -348,7 +348,7 @@
     def test_who_hears_from_nobody_begins_anew(self):
         now = self.follower.clock.now()
         self.follower.begun, self.follower.began_at = 1, now - 60_000.0
-        silent_ms = self.forwarder.limits.silent_ms
+        silent_ms = self.forwarder.limits.silence_timeout_ms
         self.forwarder.heard = tables.News(5, now - silent_ms / 2)
         following.check(self.follower)
         self.assertEqual(self.follower.begun, 1)
@@ -397,9 +397,9 @@
             1, {}, {'x': tables.Service('x', False, 100, 0.0)},
             tables.CallerLimits())
         server = tables.Server('i-1', 'x', 'a:1', 'd', 2, False, 0.0, 0.0)
-        staleness.note_known(forwarder.freshness, forwarder.clock.now())
-        listed, missing = (ports.Everything(configuration, servers, {}, {}, {},
-                                            revision)
+        staleness.record_known_times(forwarder.freshness, forwarder.clock.now())
+        listed, missing = (ports.StoreSnapshot(configuration, servers, {}, {},
+                                               {}, revision)
                            for revision, servers in ((10, {
                                'i-1': server
                            }), (11, {})))
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -65,7 +65,8 @@
         platform = ports.Platform(settings, None, None, dialect.make_dialect())
         self.forwarder = requests.Forwarder(clock, platform,
                                             logs.make_logger('test'), _RULES)
-        staleness.note_known(self.forwarder.freshness, math.inf, math.inf)
+        staleness.record_known_times(self.forwarder.freshness, math.inf,
+                                     math.inf)
         self.addCleanup(self._close_pools)
         self._publish(self.before.id)
 
@@ -100,7 +101,7 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
-        request = requests.Request(ports.CallerFields('r1', 2_000.0, _KEY),
+        request = requests.Request(ports.CallerHeaders('r1', 2_000.0, _KEY),
                                    'GET', 'h', '/x', '/x',
                                    {'Lentilmoor-Shard-Key': str(_KEY)}, b'',
                                    exchange.CallerWatch(ours),
--- a/tests/test_edge_handover.py
+++ b/tests/test_edge_handover.py
@@ -116,7 +116,7 @@
         }
         self.actor.on_receive(
             control.StoreSeen(
-                ports.Everything(
+                ports.StoreSnapshot(
                     configuration, servers, coordinators, {}, dict(self.peers),
                     revisions.combine(self.era, next(self._numbers)))))
 
@@ -170,12 +170,12 @@
             open_lease=lambda ttl: self._answer(lambda: open_lease(ttl)),
             end_lease=lambda lease: self._answer(lambda: end(lease)),
             keep_lease=lambda lease: self._answer(lambda: keep(lease)),
-            take_role=lambda _, unused_peer, lease, unused_replaced: self.
-            _answer(lambda: take_role(lease)),
+            claim_coordination=lambda _, unused_peer, lease, unused_replaced:
+            self._answer(lambda: take_role(lease)),
             register=lambda *unused_args: self._answer(lambda: None),
             load_assignment=lambda unused: self._answer(lambda: None),
             save=lambda *unused_args: self._answer(lambda: next(self._numbers)),
-            find_silence=self._find_silence,
+            find_unanswered_ms=self._find_silence,
             find_era=lambda: self.known_era)
 
     def _grant(self, grant: ownership.Grant) -> ownership.GrantResult:
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -119,7 +119,7 @@
         reporting.exchange(reporter)
         # What isn't taken in makes nothing newer.
         self.assertEqual(requests.find_news_age(forwarder), reports.NEVER_MS)
-        follower.seen = ports.Everything(None, {}, {}, {}, {}, 5)
+        follower.seen = ports.StoreSnapshot(None, {}, {}, {}, {}, 5)
         reporting.exchange(reporter)
         self.assertEqual(requests.find_news_age(forwarder), 1_000.0)
 
--- a/tests/test_edge_knowledge.py
+++ b/tests/test_edge_knowledge.py
@@ -39,7 +39,7 @@
                                   mock.Mock())
         self.forwarder = requests.Forwarder(self.clock, platform, logger, None)
         self.forwarder.limits = settings.limits
-        self.handed: list[ports.Everything] = []
+        self.handed: list[ports.StoreSnapshot] = []
         self.reporter = reporting.Reporter('e1', self.forwarder, mock.Mock(),
                                            mock.Mock())
         self.follower = knowledge.Follower(ports.Peer('e1', 'a:1'),
@@ -54,7 +54,8 @@
     def _take(self, found, unused_heard):
         freshness = self.forwarder.freshness
         self.handed.append(found)  # The actor applies at once.
-        staleness.note_applied(freshness, staleness.hand_over(freshness))
+        staleness.mark_applied(freshness,
+                               staleness.add_pending_change(freshness))
 
     def _learn_without_the_newest(self):
         """Learns all from one that is further on, but lacks a configuration."""
@@ -73,7 +74,7 @@
 
     def _check_newest_is_read(self, acked_at):
         self.standin.put('lentilmoor/entry/f', b'["f", "a:8", false]')
-        self.assertLess(self.forwarder.freshness.known.configuration_at,
+        self.assertLess(self.forwarder.freshness.known_times.configuration_at,
                         acked_at)
         following.read(self.follower, 0)
         self.assertEqual(self.forwarder.version, 2)
@@ -107,7 +108,7 @@
         knowledge.take_news(
             self.follower,
             tables.News(found.revision, now, before.revision,
-                        other.tell_news(found.revision, 2**20, 1), 2, now,
+                        other.encode_news(found.revision, 2**20, 1), 2, now,
                         found.revision))
         self.assertEqual(self.forwarder.version, 2)
         knowledge.take(self.follower, found, False)
@@ -132,12 +133,14 @@
     def test_the_longest_way_from_the_store_fits_the_bound(self):
         for bound in (2_000.0, 2_500.0, 3_000.0):
             limits = staleness.make_limits(bound, bound)
-            usual = limits.lead_pause_ms + 2 * limits.hold_ms
-            self.assertLess(usual, limits.seek_ms)
+            usual = limits.hub_watch_pause_ms + 2 * limits.poll_wait_ms
+            self.assertLess(usual, limits.refresh_age_ms)
             # A question to one that hangs, then one to any other.
-            self.assertLessEqual(limits.seek_ms + limits.ask_ms, limits.send_ms)
-            self.assertLess(limits.send_ms, bound)
-            self.assertLess(limits.watch_ms + limits.read_ms, limits.seek_ms)
+            self.assertLessEqual(limits.refresh_age_ms + limits.poll_reply_ms,
+                                 limits.max_send_age_ms)
+            self.assertLess(limits.max_send_age_ms, bound)
+            self.assertLess(limits.watch_wait_ms + limits.watch_reply_ms,
+                            limits.refresh_age_ms)
 
     def test_a_bound_that_can_not_be_kept_is_refused(self):
         for bounds in ((400.0, 2_000.0), (2_000.0, 400.0)):
@@ -154,27 +157,27 @@
         self.limits = staleness.make_limits(2_000.0, 2_000.0)
 
     def _is_away(self, others, now, unanswered_ms=60_000.0):
-        return staleness.is_store_away(self.freshness, others, unanswered_ms,
-                                       now, self.limits)
+        return staleness.is_store_unavailable(self.freshness, others,
+                                              unanswered_ms, now, self.limits)
 
     def test_half_of_the_others_have_to_say_so(self):
         for name in 'abc':
-            staleness.note_unreached(self.freshness, name, 5_000.0)
+            staleness.record_unreachable_report(self.freshness, name, 5_000.0)
         self.assertTrue(self._is_away('abcdef', 5_100.0))
         self.assertFalse(self._is_away('abcdefg', 5_100.0))
         self.assertFalse(self._is_away('abcdef', 9_001.0))
 
     def test_who_reaches_the_store_does_not_take_it_for_away(self):
-        staleness.note_unreached(self.freshness, 'a', 5_000.0)
+        staleness.record_unreachable_report(self.freshness, 'a', 5_000.0)
         self.assertFalse(self._is_away('a', 5_100.0, 100.0))
         self.assertFalse(self._is_away((), 5_100.0, 100.0))
 
     def test_a_recent_copy_of_anybody_says_that_it_is_not(self):
         for name in 'abc':
-            staleness.note_unreached(self.freshness, name, 5_000.0)
-        staleness.note_copy(self.freshness, 4_900.0)
+            staleness.record_unreachable_report(self.freshness, name, 5_000.0)
+        staleness.record_peer_copy(self.freshness, 4_900.0)
         self.assertFalse(self._is_away('abc', 5_100.0))
-        staleness.note_copy(self.freshness, 5_001.0)
+        staleness.record_peer_copy(self.freshness, 5_001.0)
         self.assertFalse(self._is_away('abc', 6_500.0))
 
 
--- a/tests/test_edge_lost_takes.py
+++ b/tests/test_edge_lost_takes.py
@@ -29,7 +29,7 @@
         self.standin = platform_store.PlatformStore()
         self.addCleanup(self.standin.close)
         self.store = store.connect_store(self.standin.address, clock, logger)
-        self.taken: list[ports.Everything] = []
+        self.taken: list[ports.StoreSnapshot] = []
         self.follower = knowledge.Follower(
             ports.Peer('e1', 'a:1'),
             reporting.Reporter('e1',
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -286,7 +286,7 @@
     def setUp(self):
         super().setUp()
         clock = clocks.ManualTime().clock()
-        store = mock.Mock(**{'tell_news.return_value': b'news'})
+        store = mock.Mock(**{'encode_news.return_value': b'news'})
         platform = mock.Mock(store=store,
                              **{
                                  'settings.link_mbps': 1_000.0,
--- a/tests/test_edge_servers.py
+++ b/tests/test_edge_servers.py
@@ -42,8 +42,8 @@
             tables.CallerLimits())
         actor.on_receive(
             control.StoreSeen(
-                ports.Everything(configuration, servers, {}, {}, {},
-                                 self.revision)))
+                ports.StoreSnapshot(configuration, servers, {}, {}, {},
+                                    self.revision)))
 
     def test_no_process_is_ended_by_the_order_of_ids_at_the_first_look(self):
         for names in (('i-1', 'i-2'), ('i-2', 'i-1')):
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -194,8 +194,8 @@
 
     def _note_known(self, follower, age_ms):
         known_at = follower.clock.now() - age_ms
-        staleness.note_known(follower.reporter.forwarder.freshness, known_at,
-                             known_at)
+        staleness.record_known_times(follower.reporter.forwarder.freshness,
+                                     known_at, known_at)
 
     def _await_version(self, follower, version, seconds):
         platformhelp.wait_until(
@@ -291,7 +291,7 @@
 
     def test_relays_look_when_the_hub_knows_nothing_new(self):
         self.assertEqual(self._find_pause(True, 1_300.0),
-                         self.forwarder.limits.lead_pause_ms)
+                         self.forwarder.limits.hub_watch_pause_ms)
 
     def test_the_others_leave_that_to_the_relays(self):
         # 195 entries that looked for themselves while the hub couldn't reach
@@ -337,7 +337,7 @@
 
     def test_who_is_told_leaves_such_a_call_and_waits(self):
         # Its thread couldn't look when nobody told it any more.
-        self.follower.seen = ports.Everything(None, {}, {}, {}, {}, 1)
+        self.follower.seen = ports.StoreSnapshot(None, {}, {}, {}, {}, 1)
         self.assertEqual(self._answer_again('watch', 100.0), 2)
         platformhelp.wait_until(lambda: self.follower.doing[0] == 'wait', 3.0)
         self.assertFalse(self.follower.store.watch.called)
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -34,8 +34,8 @@
 
 
 def _make_request(target: str) -> requests.Request:
-    return requests.Request(ports.CallerFields('r1', 1_000.0, None), 'GET', 'h',
-                            target, target, {}, b'', None, 0.0)
+    return requests.Request(ports.CallerHeaders('r1', 1_000.0, None), 'GET',
+                            'h', target, target, {}, b'', None, 0.0)
 
 
 _BAD, _SOUND = _make_request('/bad'), _make_request('/sound')
@@ -324,7 +324,7 @@
         context.owned.everything = self.platform.load()
         return context
 
-    def _keep(self) -> ports.Everything:
+    def _keep(self) -> ports.StoreSnapshot:
         """Has the entry write what is due, and read it."""
         self.time.advance(savedsuspects.SAVE_AGAIN_MS)
         self.context.owned.everything = self.platform.load()
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -125,14 +125,14 @@
         self.dialect = dialect.make_dialect()
 
     def test_callers_headers_that_make_no_sense_are_taken_as_absent(self):
-        fields = self.dialect.read_caller({
+        fields = self.dialect.parse_caller_headers({
             b'Lentilmoor-Deadline-Ms': b'soon',
             b'Lentilmoor-Shard-Key': b'12'
         })
-        self.assertEqual(fields, ports.CallerFields('', None, 12))
+        self.assertEqual(fields, ports.CallerHeaders('', None, 12))
 
     def test_what_a_server_says_of_its_answer(self):
-        fields = self.dialect.read_answer(
+        fields = self.dialect.parse_answer_headers(
             200, {
                 'Lentilmoor-Upstream-Load': '2,3,2',
                 'Keep-Alive': 'timeout=10',
@@ -140,18 +140,19 @@
                 'Lentilmoor-Upstream-Seal': 'x'
             })
         self.assertEqual(fields.load, ports.ServerLoad(2, 3, 2))
-        self.assertEqual(fields.kept_ms, 10_000.0)
-        self.assertTrue(fields.closes and fields.proven)
+        self.assertEqual(fields.keep_alive_ms, 10_000.0)
+        self.assertTrue(fields.closes_connection and fields.has_proof)
         self.assertFalse(fields.not_run)
 
     def test_an_invalid_rate_limit_is_treated_as_absent(self):
         for text, rate in (('8.5', 8.5), ('0', 0.0), ('', None), ('few', None),
                            ('-1', None), ('nan', None), ('inf', None)):
-            fields = self.dialect.read_answer(200, {'Server-Limit': text})
+            fields = self.dialect.parse_answer_headers(200,
+                                                       {'Server-Limit': text})
             self.assertEqual(fields.rate_limit, rate)
 
     def test_retry_after_is_read_from_429_and_503_only(self):
-        read = self.dialect.read_answer
+        read = self.dialect.parse_answer_headers
         for status, text, pause_ms in ((503, '3', 3_000.0), (429, '0.5', 500.0),
                                        (200, '3', None), (503, '', None),
                                        (503, '-1', None), (503, 'nan', None),
@@ -160,13 +161,13 @@
             self.assertEqual(fields.retry_after_ms, pause_ms)
 
     def test_draining_is_read_from_the_server_leaving_header(self):
-        read = self.dialect.read_answer
+        read = self.dialect.parse_answer_headers
         self.assertTrue(read(200, {'Server-Leaving': '1'}).draining)
         self.assertFalse(read(200, {'Server-Leaving': '0'}).draining)
         self.assertFalse(read(200, {}).draining)
 
     def test_only_421_and_the_servers_own_word_mean_not_run(self):
-        read = self.dialect.read_answer
+        read = self.dialect.parse_answer_headers
         self.assertTrue(read(421, {}).not_run)
         self.assertTrue(read(503, {'Lentilmoor-Not-Executed': '1'}).not_run)
         self.assertFalse(read(503, {}).not_run)
@@ -234,14 +235,15 @@
         self.standin.put('servers/i-1', entry | {'Seq': 2})
         second = self.store.watch(first)
         self.assertGreater(second.revision, first.revision)
-        self.assertEqual(second.news, first.news)
+        self.assertEqual(second.required_revision, first.required_revision)
         self.assertIs(second.servers['i-1'], first.servers['i-1'])
         self.standin.put('servers/i-1', entry | {'State': 'draining'})
         third = self.store.watch(second)
-        self.assertEqual(third.news, third.revision)
+        self.assertEqual(third.required_revision, third.revision)
         self.assertTrue(third.servers['i-1'].draining)
         self.standin.delete('servers/i-1')
-        self.assertGreater(self.store.watch(third).news, third.news)
+        self.assertGreater(
+            self.store.watch(third).required_revision, third.required_revision)
 
     def test_an_entry_by_another_writer_names_no_server(self):
         self.standin.put('servers/i-1', _SERVER)
@@ -291,7 +293,7 @@
         second = self.store.watch(first)
         self.assertEqual(len(lines.written), 1)
         self.assertFalse(second.servers)
-        self.assertEqual(second.news, second.revision)
+        self.assertEqual(second.required_revision, second.revision)
         self.standin.put('servers/i-1', _SERVER | {'Seq': 2})
         third = self.store.watch(second)
         self.assertEqual(list(third.servers), ['i-1'])
@@ -303,7 +305,7 @@
         self.standin.put('servers/i-1', _SERVER | {'born': 2_000})
         second = self.store.watch(first)
         (new,) = second.servers.values()
-        self.assertEqual(second.news, second.revision)
+        self.assertEqual(second.required_revision, second.revision)
         self.assertNotEqual(old.id, new.id)
         self.assertEqual((old.name, new.name), ('i-1', 'i-1'))
         self.assertTrue(tables.follows(new, old))
--- a/tests/test_platform_revisions.py
+++ b/tests/test_platform_revisions.py
@@ -76,9 +76,9 @@
 
     def test_role_under_an_earlier_lease_is_written_again(self):
         first = self.store.open_lease(5_000.0)
-        self.assertIsNone(self.store.take_role('x', _PEER, first, 0))
+        self.assertIsNone(self.store.claim_coordination('x', _PEER, first, 0))
         second = self.store.open_lease(5_000.0)
-        self.assertIsNone(self.store.take_role('x', _PEER, second, 0))
+        self.assertIsNone(self.store.claim_coordination('x', _PEER, second, 0))
         self.store.end_lease(first)
         self.assertIn('x', self.store.load().coordinators)
 
@@ -87,8 +87,8 @@
         self.standin.restore(self.copy)
         self._configure(2)
         after = self.store.load()
-        self.assertIsNone(self.store.tell_news(before.revision, _ROOM))
-        self.assertEqual(self.store.tell_news(after.revision, _ROOM), b'')
+        self.assertIsNone(self.store.encode_news(before.revision, _ROOM))
+        self.assertEqual(self.store.encode_news(after.revision, _ROOM), b'')
 
     def test_dump_from_before_it_brings_nothing_back(self):
         self.standin.put('lentilmoor/entry/e9', b'["e9","a:9",false,"d"]')
