--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -86,7 +86,7 @@
         self._numbers = itertools.count()
         self._took_ms = ANSWER_MS
         self.silent: set[str] = set()
-        self.granted: list[tuple[str, float] | None] = [None] * tables.KEYS
+        self.granted: list[tuple[str, float] | None] = [None] * tables.KEY_COUNT
         self.saved: keyranges.Assignment | None = None
         self.owned = beliefs.Beliefs(_HUB)
         self._everything = _make_everything(entries, keyed, others)
@@ -246,7 +246,7 @@
         if self.saved is not None:
             fence = self.saved.next_fence
             for _ in range(_ROWS):
-                key = self._random.randrange(tables.KEYS)
+                key = self._random.randrange(tables.KEY_COUNT)
                 if self._random.random() < _HOT_PART:
                     key = self._random.choice(_HOT)
                 owner = keyranges.find_owner(self.saved, key).server
--- a/benchmarks/edge_model.py
+++ b/benchmarks/edge_model.py
@@ -182,7 +182,7 @@
                 return 21_000 + self.random.randrange(keys)
         draw = self.random.random() * self.cumulative[-1]
         # Busy keys lie close together.
-        return bisect.bisect(self.cumulative, draw) * 32 % tables.KEYS
+        return bisect.bisect(self.cumulative, draw) * 32 % tables.KEY_COUNT
 
     def _arrive(self) -> None:
         shape = self.shape
@@ -352,7 +352,7 @@
         earned = sum(sum(items) for items in self.done.values())
         return Result(earned / total, self.counts[1] / total,
                       sum(windows[:2]) / 2, self.counts[2] / total,
-                      self.moved / tables.KEYS)
+                      self.moved / tables.KEY_COUNT)
 
 
 def average(results: list[Result]) -> Result:
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -482,10 +482,9 @@
                 assignments[name] = role.state.assignment
         forwarder = self._forwarder
         with forwarder.changed:
-            forwarder.snapshot = tables.Snapshot(everything.configuration,
-                                                 servers, assignments,
-                                                 dict(everything.coordinators),
-                                                 dict(everything.entries))
+            forwarder.snapshot = tables.RoutingSnapshot(
+                everything.configuration, servers, assignments,
+                dict(everything.coordinators), dict(everything.entries))
             forwarder.changed.notify_all()
 
     def _take_rows(self, found: dict[str, list[reports.Row]]) -> None:
--- a/lentilmoor/edge/coordination.py
+++ b/lentilmoor/edge/coordination.py
@@ -163,7 +163,7 @@
     until = holds.find_end(latest, state.hold_ms)
     state.since = until
     state.held.append(
-        holds.Hold(0, tables.KEYS - 1, _UNKNOWN_SERVER, 0, until, False))
+        holds.Hold(0, tables.KEY_COUNT - 1, _UNKNOWN_SERVER, 0, until, False))
     for item in state.assignment.ranges:
         state.renewals[item] = ownership.Renewal(item.fence, due_at=until)
 
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -191,7 +191,7 @@
             platform.header_format,
             functools.partial(forwarding.forward, forwarder),
             functools.partial(_note, entry), entry.count,
-            lambda: _find_limits(entry).body_bytes, clock), CALLER_THREADS,
+            lambda: _find_limits(entry).max_body_bytes, clock), CALLER_THREADS,
         log_error)
     ready = listening.make_listener(
         platform.settings.ready,
@@ -375,9 +375,9 @@
         return
     limits = found.configuration.limits
     callers = entry.listeners[0]
-    callers.timeout = (limits.idle_ms / clocks.MS_PER_S +
+    callers.timeout = (limits.idle_timeout_ms / clocks.MS_PER_S +
                        listening.IDLE_SLACK_S)
-    callers.max_request_header_size = limits.header_bytes
+    callers.max_request_header_size = limits.max_header_bytes
 
 
 def _tick(entry: Entry) -> None:
--- a/lentilmoor/edge/following.py
+++ b/lentilmoor/edge/following.py
@@ -304,7 +304,7 @@
     return limits.watch_pause_ms
 
 
-def _is_settled(snapshot: tables.Snapshot) -> bool:
+def _is_settled(snapshot: tables.RoutingSnapshot) -> bool:
     """Returns whether all that needs a coordinator has one."""
     return snapshot.configuration is not None and all(
         name in snapshot.coordinators
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -100,7 +100,7 @@
 
 
 def _await_configuration(forwarder: requests.Forwarder,
-                         request: requests.Request) -> tables.Snapshot:
+                         request: requests.Request) -> tables.RoutingSnapshot:
     """Waits a little for the configuration of an entry that has just started.
 
     It comes some 25 ms after the first requests are read; a caller that is
@@ -218,7 +218,7 @@
         return False
     # The new owner of a moving key may have turned the request away before it
     # was granted the key; asking it again takes it to no other server.
-    if len(run.sent | {choice.server.id}) > max(1, run.route.attempts):
+    if len(run.sent | {choice.server.id}) > max(1, run.route.max_attempts):
         return False
     with forwarder.lock:
         return budgets.take_repeat(_budget_of(forwarder, run.service.name),
@@ -352,7 +352,7 @@
     """
     # An entry that started again is registered twice for a while.
     entries = {peer.address for peer in forwarder.snapshot.entries.values()}
-    share = connections.share_connections(service.connections, len(entries))
+    share = connections.share_connections(service.max_connections, len(entries))
     return dataclasses.replace(forwarder.rules,
                                most=min(forwarder.rules.most, share))
 
--- a/lentilmoor/edge/keyloads.py
+++ b/lentilmoor/edge/keyloads.py
@@ -25,7 +25,7 @@
         """
         seen = sum(loads.values())
         self.total = max(1.0, seen / (1 - EVEN_PART))
-        self._even = (self.total - seen) / tables.KEYS
+        self._even = (self.total - seen) / tables.KEY_COUNT
         self._loads = sorted(loads.items())
         self._keys = [key for key, _ in self._loads]
 
--- a/lentilmoor/edge/keyranges.py
+++ b/lentilmoor/edge/keyranges.py
@@ -1,6 +1,7 @@
 """Owners of key ranges: the assignment of one keyed service.
 
-An assignment covers keys 0 to `tables.KEYS` - 1 by ranges that don't overlap.
+An assignment covers keys 0 to `tables.KEY_COUNT` - 1 by ranges that don't
+overlap.
 Each range carries the fence under which it was last granted. Whatever changes
 hands gets a fence above all that were ever used for the service.
 """
@@ -120,7 +121,7 @@
     first, seen = 0, 0.0
     for name in names:
         seen += weights.get(name, 1.0)
-        end = round(tables.KEYS * seen / total)
+        end = round(tables.KEY_COUNT * seen / total)
         if end > first:
             ranges.append(KeyRange(first, end - 1, name, fence))
             first = end
--- a/lentilmoor/edge/knowledge.py
+++ b/lentilmoor/edge/knowledge.py
@@ -225,7 +225,7 @@
     News that begin later than what is known would leave a gap: an entry once
     went back to an older configuration by such.
     """
-    if heard.changes is None or heard.since > seen.revision:
+    if heard.changes is None or heard.base_revision > seen.revision:
         return None
     merged = follower.store.merge_news(heard.changes, heard.revision)
     if merged is None:
--- a/lentilmoor/edge/lifetimes.py
+++ b/lentilmoor/edge/lifetimes.py
@@ -38,7 +38,7 @@
     for server in new:
         others = known if server.started_at is None else known + new
         owned.ended.update(
-            other.id for other in others if tables.follows(server, other))
+            other.id for other in others if tables.has_replaced(server, other))
 
 
 def take_back_ends(owned: beliefs.Beliefs,
--- a/lentilmoor/edge/loads.py
+++ b/lentilmoor/edge/loads.py
@@ -154,7 +154,7 @@
         for server in servers:
             work_ms = estimates.get(server.id)
             capacity = usual / max(0.1, work_ms) if work_ms else 1.0
-            if server.warm_at > now:
+            if server.warmup_ends_at > now:
                 capacity = min(capacity, COLD_CAPACITY)
             capacities[server.id] = min(FASTEST, max(SLOWEST, capacity))
         zero_limits = dict.fromkeys(self._list_refusing_servers(now), 0.0)
--- a/lentilmoor/edge/matching.py
+++ b/lentilmoor/edge/matching.py
@@ -51,7 +51,7 @@
       route: The route.
       chance: A random number from 0 to 1, 1 excluded.
     """
-    parts = route.parts
+    parts = route.targets
     if len(parts) == 1:
         return parts[0].service
     left = chance * sum(part.weight for part in parts)
--- a/lentilmoor/edge/picks.py
+++ b/lentilmoor/edge/picks.py
@@ -48,7 +48,7 @@
     servers = [server for server in candidates if not waits_ms[server.id]]
     with forwarder.lock:
         wish = placement.Wish(forwarder.platform.settings.domain,
-                              run.route.large,
+                              run.route.large_answers,
                               placement.mean_work(servers, forwarder.states))
         choice = placement.choose(servers, forwarder.states, wish, now,
                                   forwarder.generator.random)
@@ -238,7 +238,7 @@
                for first, last in forwarder.unserved.get(service, ()))
 
 
-def _find_owner(snapshot: tables.Snapshot, service: str,
+def _find_owner(snapshot: tables.RoutingSnapshot, service: str,
                 key: int) -> tables.Server | None:
     assignment = snapshot.assignments.get(service)
     if assignment is None:
@@ -249,7 +249,7 @@
     return snapshot.servers.get(service, {}).get(found.server)
 
 
-def await_change(forwarder: requests.Forwarder, seen: tables.Snapshot,
+def await_change(forwarder: requests.Forwarder, seen: tables.RoutingSnapshot,
                  wait_ms: float) -> None:
     """Waits until another snapshot has replaced one, or a time is over.
 
--- a/lentilmoor/edge/placement.py
+++ b/lentilmoor/edge/placement.py
@@ -168,7 +168,7 @@
         can't all choose the same.
     """
     mean = find_mean(state, work_ms)
-    if server.warm_at > now:
+    if server.warmup_ends_at > now:
         mean = max(mean, work_ms * COLD_FACTOR)
     ahead = state.inflight + _count_others(state, mean, alone, now)
     waits = max(0.0, ahead + 1.0 - server.slots) / server.slots
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -257,13 +257,13 @@
 
 
 def _tell_coordinated(reporter: Reporter,
-                      works: bool) -> dict[str, tables.Coordinated]:
+                      works: bool) -> dict[str, tables.CoordinatorStatus]:
     """Returns what this entry tells of the services that it coordinates."""
     told = reporter.forwarder.coordinated
     if works:
         return told
     return {
-        name: tables.Coordinated(item.unserved, {})
+        name: tables.CoordinatorStatus(item.unserved, {})
         for name, item in told.items()
     }
 
@@ -354,7 +354,7 @@
     """Takes in what the hubs told; what none tells any more is forgotten."""
     forwarder = reporter.forwarder
     now = forwarder.clock.now()
-    coordinated: dict[str, tables.Coordinated] = {}
+    coordinated: dict[str, tables.CoordinatorStatus] = {}
     for told in replies:
         reply = told.reply
         coordinated.update(reply.coordinated)
--- a/lentilmoor/edge/reports.py
+++ b/lentilmoor/edge/reports.py
@@ -83,7 +83,7 @@
 
     others: dict[str, int]
     assignments: dict[str, keyranges.Assignment]
-    coordinated: dict[str, tables.Coordinated]
+    coordinated: dict[str, tables.CoordinatorStatus]
     revision: int = 0
     since: int = 0
     changes: bytes | None = None
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -122,8 +122,8 @@
     rules: connections.Rules
     index: matching.RouteIndex = dataclasses.field(
         default_factory=lambda: matching.make_index({}))
-    snapshot: tables.Snapshot = dataclasses.field(
-        default_factory=lambda: tables.Snapshot(None, {}, {}, {}, {}))
+    snapshot: tables.RoutingSnapshot = dataclasses.field(
+        default_factory=lambda: tables.RoutingSnapshot(None, {}, {}, {}, {}))
     changed: threading.Condition = dataclasses.field(
         default_factory=threading.Condition)
     states: dict[str, placement.ServerState] = dataclasses.field(
@@ -140,7 +140,7 @@
     unserved: dict[str,
                    list[tuple[int,
                               int]]] = dataclasses.field(default_factory=dict)
-    coordinated: dict[str, tables.Coordinated] = dataclasses.field(
+    coordinated: dict[str, tables.CoordinatorStatus] = dataclasses.field(
         default_factory=dict)
     suspects: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine)
@@ -203,7 +203,7 @@
     @property
     def repeatable(self) -> bool:
         """Whether it may be run more than once."""
-        return self.route.repeat is tables.Repeat.IDEMPOTENT
+        return self.route.repeat is tables.RepeatPolicy.IDEMPOTENT
 
 
 def find_news_age(forwarder: Forwarder) -> float:
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -53,8 +53,9 @@
         _carry_out(context, state, action)
     if len(state.moves) > known:
         _log_moves(context, state, view, len(state.moves) - known)
-    told = tables.Coordinated(moves.list_unserved(state),
-                              role.measured.estimate_works(servers.values()))
+    told = tables.CoordinatorStatus(
+        moves.list_unserved(state),
+        role.measured.estimate_works(servers.values()))
     context.forwarder.coordinated = context.forwarder.coordinated | {name: told}
 
 
--- a/lentilmoor/edge/tables.py
+++ b/lentilmoor/edge/tables.py
@@ -3,11 +3,11 @@
 import dataclasses
 import enum
 
-KEYS = 65_536
+KEY_COUNT = 65_536
 """Keys of a keyed service are numbers from 0 to KEYS - 1."""
 
 
-class Repeat(enum.Enum):
+class RepeatPolicy(enum.Enum):
     """What may be done with a request whose outcome is unknown."""
 
     IDEMPOTENT = 'idempotent'
@@ -15,7 +15,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Part:
+class RouteTarget:
     """A service's part in a route.
 
     Attributes:
@@ -47,13 +47,13 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
-    large: bool
-    parts: tuple[Part, ...]
-    attempts: int
+    repeat: RepeatPolicy
+    large_answers: bool
+    targets: tuple[RouteTarget, ...]
+    max_attempts: int
     timeout_ms: float
-    goal_ms: float
-    rank: int
+    latency_target_ms: float
+    priority_rank: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -69,8 +69,8 @@
 
     name: str
     keyed: bool
-    connections: int
-    warm_ms: float
+    max_connections: int
+    warmup_ms: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -84,10 +84,10 @@
       idle_ms: A connection without a request for so long may be closed.
     """
 
-    header_bytes: int = 64 * 1024
-    body_bytes: int = 64 * 1024 * 1024
-    header_ms: float = 10_000.0
-    idle_ms: float = 30_000.0
+    max_header_bytes: int = 64 * 1024
+    max_body_bytes: int = 64 * 1024 * 1024
+    header_timeout_ms: float = 10_000.0
+    idle_timeout_ms: float = 30_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -139,7 +139,7 @@
     domain: str
     slots: int
     draining: bool
-    warm_at: float
+    warmup_ends_at: float
     seen_at: float
     name: str = ''
     started_at: int | None = None
@@ -154,7 +154,7 @@
         return self.unlisted_at or None
 
 
-def follows(server: Server, other: Server) -> bool:
+def has_replaced(server: Server, other: Server) -> bool:
     """Returns whether a server's start proves that another process has ended.
 
     Two processes have neither one address nor one name at a time. Where both
@@ -186,7 +186,7 @@
 
     revision: int = 0
     seen_at: float = float('-inf')
-    since: int = 0
+    base_revision: int = 0
     changes: bytes | None = None
     version: int = 0
     configuration_at: float = float('-inf')
@@ -194,7 +194,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Coordinated:
+class CoordinatorStatus:
     """What the coordinator of a keyed service tells all entries.
 
     Attributes:
@@ -207,7 +207,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Snapshot:
+class RoutingSnapshot:
     """What request threads read; replaced as a whole, never changed.
 
     Attributes:
--- a/lentilmoor/platform/documents.py
+++ b/lentilmoor/platform/documents.py
@@ -137,14 +137,15 @@
 def _convert_route(name: str, item: _Route) -> tables.Route:
     if item.split:
         parts = tuple(
-            tables.Part(part.service, part.weight) for part in item.split)
+            tables.RouteTarget(part.service, part.weight)
+            for part in item.split)
     else:
-        parts = (tables.Part(item.service, 1.0),)
+        parts = (tables.RouteTarget(item.service, 1.0),)
     # What isn't known to be safe to repeat isn't repeated.
     once = item.type not in _REPEATABLE
     return tables.Route(
         name, item.host.lower(), item.prefix,
-        tables.Repeat.ONCE if once else tables.Repeat.IDEMPOTENT,
+        tables.RepeatPolicy.ONCE if once else tables.RepeatPolicy.IDEMPOTENT,
         item.type == _DOWNLOAD, parts, item.attempts, item.timeout_ms,
         item.latency_target_ms, item.priority)
 
--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -401,7 +401,7 @@
                              if known.draining else found.draining_at))
             if _is_heartbeat(known, found, now):
                 found = known
-        elif known is not None and tables.follows(known, found):
+        elif known is not None and tables.has_replaced(known, found):
             self._refuse_server(name, item, 'of an earlier start')
             return False
         elif known is not None:
@@ -441,8 +441,10 @@
 def _is_heartbeat(known: tables.Server, found: tables.Server,
                   now: float) -> bool:
     """Returns whether nothing has changed but what a heartbeat counts down."""
-    same = dataclasses.replace(found, warm_at=known.warm_at) == known
-    return same and found.warm_at < max(known.warm_at, now) + WARM_SLACK_MS
+    same = dataclasses.replace(found,
+                               warmup_ends_at=known.warmup_ends_at) == known
+    return same and found.warmup_ends_at < max(known.warmup_ends_at,
+                                               now) + WARM_SLACK_MS
 
 
 def _find_last(items: Iterable[Item], after: int) -> list[Item]:
--- a/tests/orderworlds.py
+++ b/tests/orderworlds.py
@@ -281,7 +281,7 @@
             coordinator.known |= self.listed
             coordinator.ended |= {
                 other for other in coordinator.known
-                for name in self.listed if tables.follows(
+                for name in self.listed if tables.has_replaced(
                     self.processes[name].entry, self.processes[other].entry)
             }
 
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -17,14 +17,15 @@
 
 
 def _covered(world) -> bool:
-    step = tables.KEYS // 200
+    step = tables.KEY_COUNT // 200
     return all(
-        world.owner_count(key) == 1 for key in range(0, tables.KEYS, step))
+        world.owner_count(key) == 1 for key in range(0, tables.KEY_COUNT, step))
 
 
 def _find_longest_gap(world, ms: float) -> float:
     """Returns the longest time without one owner of a key, of the next ones."""
-    gaps = dict.fromkeys(range(0, tables.KEYS, tables.KEYS // 200), 0.0)
+    gaps = dict.fromkeys(range(0, tables.KEY_COUNT, tables.KEY_COUNT // 200),
+                         0.0)
     longest = 0.0
     for _ in range(round(ms / edgeworlds.STEP_MS)):
         world.run(edgeworlds.STEP_MS)
@@ -69,7 +70,7 @@
     def test_hot_neighbours_are_split_apart(self):
         world = edgeworlds.World(4)
         world.run(1_000)
-        world.loads = dict.fromkeys(range(0, tables.KEYS, 512), 1.0)
+        world.loads = dict.fromkeys(range(0, tables.KEY_COUNT, 512), 1.0)
         world.loads |= dict.fromkeys(range(30_000, 30_060), 4.0)
         world.run(4_000)
         owners = {
@@ -83,7 +84,7 @@
         world = edgeworlds.World(5)
         world.run(1_000)
         for start in range(1_000, 60_000, 4_000):
-            world.loads = dict.fromkeys(range(0, tables.KEYS, 512), 1.0)
+            world.loads = dict.fromkeys(range(0, tables.KEY_COUNT, 512), 1.0)
             world.loads |= dict.fromkeys(range(start, start + 60), 4.0)
             world.run(2_000)
         self.assertLess(len(world.saved.ranges), 30)
@@ -213,7 +214,7 @@
         ranges = [
             edgeworlds.make_range(0, 20_000, 'a'),
             edgeworlds.make_range(20_001, 40_000, 'b'),
-            edgeworlds.make_range(40_001, tables.KEYS - 1, 'c'),
+            edgeworlds.make_range(40_001, tables.KEY_COUNT - 1, 'c'),
         ]
         moved = rebalancing.plan_transfers(ranges, loads,
                                            dict.fromkeys('abcdef', 1.0))
@@ -253,7 +254,7 @@
     def test_owners_whose_entries_ran_out_keep_their_keys(self):
         for seed in range(12):
             world = edgeworlds.World(seed, 11)
-            world.loads = dict.fromkeys(range(0, tables.KEYS, 512), 1.0)
+            world.loads = dict.fromkeys(range(0, tables.KEY_COUNT, 512), 1.0)
             world.run(3_000)
             before = {item.server for item in world.saved.ranges}
             lapsed = list(world.servers)[2:]
@@ -363,10 +364,10 @@
             {
                 name: entry for name, entry in servers.items() if name != 's2'
             }, ended, {'s2': servers['s2']}, keyloads.KeyLoads({}), {})
-        until = holds.find_until(state.held, 's2', 0, tables.KEYS)
+        until = holds.find_until(state.held, 's2', 0, tables.KEY_COUNT)
         actions = coordination.plan(state, view, world.now)
-        self.assertEqual(holds.find_until(state.held, 's2', 0, tables.KEYS),
-                         until)
+        self.assertEqual(
+            holds.find_until(state.held, 's2', 0, tables.KEY_COUNT), until)
         self.assertFalse(
             any(isinstance(item, ownership.Save) for item in actions))
         actions = coordination.plan(state, view, until)
@@ -380,7 +381,7 @@
     def _make_world(self, seed: int) -> edgeworlds.World:
         world = edgeworlds.World(seed)
         world.run(3_000)
-        world.loads = dict.fromkeys(range(0, tables.KEYS, 512), 1.0)
+        world.loads = dict.fromkeys(range(0, tables.KEY_COUNT, 512), 1.0)
         hot = world.saved.ranges[0]
         world.loads |= dict.fromkeys(range(hot.first, hot.first + 60), 4.0)
         return world
@@ -521,14 +522,14 @@
     elif kind == 8:
         world.queue_ms = draw.choice((0.0, 600.0, 5_000.0))
     else:
-        start = draw.randrange(tables.KEYS - 300)
-        world.loads = dict.fromkeys(range(0, tables.KEYS, 1_024), 1.0)
+        start = draw.randrange(tables.KEY_COUNT - 300)
+        world.loads = dict.fromkeys(range(0, tables.KEY_COUNT, 1_024), 1.0)
         world.loads |= dict.fromkeys(range(start, start + 100), 3.0)
 
 
 def _drain(entry: tables.Server) -> tables.Server:
     return tables.Server(entry.id, entry.service, entry.address, entry.domain,
-                         entry.slots, True, entry.warm_at, entry.seen_at)
+                         entry.slots, True, entry.warmup_ends_at, entry.seen_at)
 
 
 if __name__ == '__main__':
--- a/tests/test_edge_fences.py
+++ b/tests/test_edge_fences.py
@@ -47,7 +47,7 @@
     def test_a_join_is_not_saved_below_a_fence_that_was_used_meanwhile(self):
         ranges = (keyranges.KeyRange(0, 99, 'a',
                                      2), keyranges.KeyRange(100, 199, 'a', 3),
-                  keyranges.KeyRange(200, tables.KEYS - 1, 'gone', 4))
+                  keyranges.KeyRange(200, tables.KEY_COUNT - 1, 'gone', 4))
         state = coordination.begin(keyranges.Assignment('stock', 1, 5, ranges),
                                    1, 0.0, None)
         view = _make_view('a', 'c')
@@ -70,7 +70,7 @@
     """A part of a range moves out, and those beside it are renewed."""
 
     def test_a_fence_stays_with_the_connection_that_carried_it_first(self):
-        ranges = (keyranges.KeyRange(0, tables.KEYS - 1, 'a', 2),)
+        ranges = (keyranges.KeyRange(0, tables.KEY_COUNT - 1, 'a', 2),)
         state = coordination.begin(keyranges.Assignment('stock', 1, 3, ranges),
                                    1, 0.0, None)
         view = _make_view('a', 'b')
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -71,9 +71,9 @@
         self._publish(self.before.id)
 
     def _publish(self, owner: str, attempts: int = 3) -> None:
-        route = tables.Route('stock', 'h', '/', tables.Repeat.IDEMPOTENT, False,
-                             (tables.Part('catalog', 1.0),), attempts, 3_000.0,
-                             500.0, 1)
+        route = tables.Route('stock', 'h', '/', tables.RepeatPolicy.IDEMPOTENT,
+                             False, (tables.RouteTarget('catalog', 1.0),),
+                             attempts, 3_000.0, 500.0, 1)
         configuration = tables.Configuration(
             1, {'stock': route},
             {'catalog': tables.Service('catalog', True, 100, 0.0)},
@@ -87,10 +87,9 @@
             'catalog', 1, 3, (keyranges.KeyRange(0, 65_535, owner, 2),))
         self.forwarder.index = matching.make_index(configuration.routes)
         with self.forwarder.changed:
-            self.forwarder.snapshot = tables.Snapshot(configuration,
-                                                      {'catalog': servers},
-                                                      {'catalog': assignment},
-                                                      {}, {})
+            self.forwarder.snapshot = tables.RoutingSnapshot(
+                configuration, {'catalog': servers}, {'catalog': assignment},
+                {}, {})
             self.forwarder.changed.notify_all()
 
     def _close_pools(self) -> None:
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -109,8 +109,8 @@
 
         forwarder = requests.Forwarder(time_.clock(), mock.Mock(),
                                        logs.make_logger('test'), None)
-        forwarder.snapshot = tables.Snapshot(None, {}, {},
-                                             {'x': ports.Peer('e1', 'a:1')}, {})
+        forwarder.snapshot = tables.RoutingSnapshot(
+            None, {}, {}, {'x': ports.Peer('e1', 'a:1')}, {})
         reporter = reporting.Reporter('e9', forwarder, SlowCaller(), None)
         follower = knowledge.Follower(ports.Peer('e9', 'a:9'), reporter, None,
                                       forwarder.clock, forwarder.logger,
--- a/tests/test_edge_rebalancing.py
+++ b/tests/test_edge_rebalancing.py
@@ -21,7 +21,7 @@
     draw = random.Random(7)
     loads: dict[int, float] = {}
     for _ in range(int(total)):
-        key = draw.randrange(tables.KEYS)
+        key = draw.randrange(tables.KEY_COUNT)
         loads[key] = loads.get(key, 0.0) + 1.0
     return loads
 
@@ -41,7 +41,7 @@
         self.capacities = {'low': 0.05, 'a': 1.0, 'b': 1.0, 'c': 1.0}
         self.ranges = keyranges.divide_evenly(self.capacities, {}, 1)
         self.loads = keyloads.KeyLoads(
-            {key: 5.0 for key in range(0, tables.KEYS, 1_024)})
+            {key: 5.0 for key in range(0, tables.KEY_COUNT, 1_024)})
 
     def test_keys_move_in_runs(self):
         # Guards against moving each key separately or to its current owner.
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -38,11 +38,11 @@
 
     def test_every_key_has_one_owner_however_ranges_are_cut(self):
         ranges = keyranges.divide_evenly('abc', {'b': 2.0}, 1)
-        self.assertEqual(edgeworlds.count_keys(ranges), tables.KEYS)
+        self.assertEqual(edgeworlds.count_keys(ranges), tables.KEY_COUNT)
         laid = keyranges.reassign(
             ranges, [_range(100, 200, 'b', 2),
                      _range(60_000, 65_535, 'a', 3)])
-        self.assertEqual(edgeworlds.count_keys(laid), tables.KEYS)
+        self.assertEqual(edgeworlds.count_keys(laid), tables.KEY_COUNT)
         for one, two in zip(laid, laid[1:], strict=False):
             self.assertEqual(one.last + 1, two.first)
         assignment = keyranges.Assignment('x', 1, 4, laid)
@@ -71,7 +71,7 @@
                          report)
         assignment = keyranges.Assignment('x', 2, 9, (_range(0, 9, 'a'),),
                                           {'a': 3.0}, {'a': 'a:1'}, 'e1')
-        told = tables.Coordinated([(1, 2)], {'s1': 12.5})
+        told = tables.CoordinatorStatus([(1, 2)], {'s1': 12.5})
         reply = reports.Reply({'s1': 3}, {'x': assignment}, {'x': told},
                               evidence=[_EVIDENCE])
         found = reports.decode_reply(reports.encode_reply(reply))
@@ -109,7 +109,7 @@
         rows = [(key,
                  keyranges.find_owner(keyranges.Assignment('x', 1, 1, ranges),
                                       key).server, 60.0)
-                for key in range(0, tables.KEYS, 700)]
+                for key in range(0, tables.KEY_COUNT, 700)]
         table.add(rows, 0.0)
         self.assertEqual(table.plan_transfers(ranges, servers, 0.0), [])
         refused = [(key, 'a', 0.0) for key in range(20, 60)] * 3
@@ -140,7 +140,9 @@
         ]
         # 100 requests per second until the decaying counts are stable.
         for step in range(100):
-            rows = [(key, 'a', 50.0) for key in range(0, tables.KEYS, 3_277)]
+            rows = [
+                (key, 'a', 50.0) for key in range(0, tables.KEY_COUNT, 3_277)
+            ]
             table.add(rows, step * 200.0)
         now = 20_000.0
         unlimited = table.capacities(servers, now)
@@ -167,7 +169,7 @@
         ranges = keyranges.divide_evenly('abcd', {}, 1)
         for step in range(10):
             rows = []
-            for key in range(0, tables.KEYS, 700):
+            for key in range(0, tables.KEY_COUNT, 700):
                 owner = keyranges.find_range(ranges, key).server
                 rows.append((key, owner, 0.0 if owner == 'a' else 50.0))
             table.add(rows, step * 250.0)
@@ -245,7 +247,7 @@
 
         def report(slow_ms: float, now: float) -> None:
             rows = []
-            for key in range(0, tables.KEYS, 1_200):
+            for key in range(0, tables.KEY_COUNT, 1_200):
                 server = keyranges.find_owner(assignment, key).server
                 work_ms = slow_ms if server == 'a' else 220.0
                 rows.append((key, server, work_ms))
@@ -302,18 +304,21 @@
             'x': ports.Peer('e1', 'a:1'),
             'y': ports.Peer('e2', 'a:2'),
         }
-        self.forwarder.snapshot = tables.Snapshot(None, {}, {}, peers, {})
+        self.forwarder.snapshot = tables.RoutingSnapshot(
+            None, {}, {}, peers, {})
         self.replies = {
             'a:1':
-                reports.Reply({}, {},
-                              {'x': tables.Coordinated([(1, 2)], {'s1': 30.0})},
-                              hub='e1',
-                              evidence=_make_crashes(),
-                              evidence_version=4),
+                reports.Reply(
+                    {}, {},
+                    {'x': tables.CoordinatorStatus([(1, 2)], {'s1': 30.0})},
+                    hub='e1',
+                    evidence=_make_crashes(),
+                    evidence_version=4),
             'a:2':
-                reports.Reply({'s2': 3}, {},
-                              {'y': tables.Coordinated([(7, 9)], {'s2': 70.0})},
-                              hub='e2'),
+                reports.Reply(
+                    {'s2': 3}, {},
+                    {'y': tables.CoordinatorStatus([(7, 9)], {'s2': 70.0})},
+                    hub='e2'),
         }
         self.reporter = reporting.Reporter('e9', self.forwarder, self, None)
         self.sent: list[tuple[str, reports.Report]] = []
@@ -374,7 +379,8 @@
         peers = self.forwarder.snapshot.coordinators | {
             'y': ports.Peer('other', 'a:2')
         }
-        self.forwarder.snapshot = tables.Snapshot(None, {}, {}, peers, {})
+        self.forwarder.snapshot = tables.RoutingSnapshot(
+            None, {}, {}, peers, {})
         self.sent.clear()
         reporting.exchange(self.reporter)
         told = {
@@ -386,7 +392,7 @@
     def test_evidence_goes_to_others_where_no_hub_answers(self):
         quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
         self.replies = {'a:3': reports.Reply({}, {}, {}, hub='e3')}
-        self.forwarder.snapshot = tables.Snapshot(
+        self.forwarder.snapshot = tables.RoutingSnapshot(
             None, {}, {}, self.forwarder.snapshot.coordinators,
             {'e3': ports.Peer('e3', 'a:3')})
         reporting.exchange(self.reporter)
--- a/tests/test_edge_restore.py
+++ b/tests/test_edge_restore.py
@@ -63,7 +63,7 @@
     world = restoreworlds.World(seed)
     world.loads = {
         key: world.random.uniform(0.5, 3.0)
-        for key in range(0, tables.KEYS, 4_096)
+        for key in range(0, tables.KEY_COUNT, 4_096)
     }
     world.run(2_000)
     for _ in range(_STEPS):
@@ -79,7 +79,7 @@
     while world.now < until:
         if all(
                 world.owner_count(key) == 1
-                for key in range(0, tables.KEYS, 512)):
+                for key in range(0, tables.KEY_COUNT, 512)):
             return True
         world.run(edgeworlds.STEP_MS)
     return False
--- a/tests/test_edge_routing.py
+++ b/tests/test_edge_routing.py
@@ -14,9 +14,10 @@
 
 
 def _make_route(name, host, prefix, *parts):
-    return tables.Route(name, host, prefix, tables.Repeat.IDEMPOTENT, False,
-                        tuple(tables.Part(*part) for part in parts), 2, 500.0,
-                        200.0, 1)
+    return tables.Route(name, host, prefix,
+                        tables.RepeatPolicy.IDEMPOTENT, False,
+                        tuple(tables.RouteTarget(*part) for part in parts), 2,
+                        500.0, 200.0, 1)
 
 
 def _make_server(name, domain='d1', slots=2, warm_at=0.0):
--- a/tests/test_edge_saves.py
+++ b/tests/test_edge_saves.py
@@ -65,7 +65,7 @@
 
     def test_the_successor_gives_no_key_away_that_its_owner_got_back(self):
         ranges = (keyranges.KeyRange(0, 999, 'a', 2),
-                  keyranges.KeyRange(1000, tables.KEYS - 1, 'b', 3))
+                  keyranges.KeyRange(1000, tables.KEY_COUNT - 1, 'b', 3))
         state = coordination.begin(keyranges.Assignment('stock', 1, 4, ranges),
                                    1, 0.0, None)
         state.balanced_at = 1e9
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -23,8 +23,9 @@
 _CLEAR = quarantine.Verdict.CLEAR
 _SUSPECT = quarantine.Verdict.SUSPECT
 _SERVICE = tables.Service('orders', False, 100, 0.0)
-_ROUTE = tables.Route('r', 'h', '/', tables.Repeat.IDEMPOTENT, False,
-                      (tables.Part('orders', 1.0),), 3, 3_000.0, 500.0, 1)
+_ROUTE = tables.Route('r', 'h', '/', tables.RepeatPolicy.IDEMPOTENT, False,
+                      (tables.RouteTarget('orders', 1.0),), 3, 3_000.0, 500.0,
+                      1)
 _RULES = connections.Rules(most=4,
                            idle_ms=8_000.0,
                            proven_ms=8_000.0,
@@ -74,7 +75,7 @@
 
     def _publish(self, server: tables.Server) -> None:
         rows = self.forwarder.snapshot.servers.get('orders', {})
-        self.forwarder.snapshot = tables.Snapshot(
+        self.forwarder.snapshot = tables.RoutingSnapshot(
             None, {'orders': rows | {
                 server.id: server
             }}, {}, {}, {})
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -101,17 +101,18 @@
         found = documents.parse_configuration(data)
         self.assertEqual(found.version, 7)
         self.assertTrue(found.services['catalog'].keyed)
-        self.assertEqual(found.routes['order'].repeat, tables.Repeat.ONCE)
+        self.assertEqual(found.routes['order'].repeat, tables.RepeatPolicy.ONCE)
         self.assertEqual(found.routes['report'].repeat,
-                         tables.Repeat.IDEMPOTENT)
-        self.assertTrue(found.routes['report'].large)
-        self.assertEqual(found.limits.idle_ms, 15_000.0)
+                         tables.RepeatPolicy.IDEMPOTENT)
+        self.assertTrue(found.routes['report'].large_answers)
+        self.assertEqual(found.limits.idle_timeout_ms, 15_000.0)
 
     def test_a_kind_of_request_that_is_not_known_is_never_repeated(self):
         fields = platformhelp.make_configuration(7)
         fields['Routes']['report']['Type'] = 'newer'
         found = documents.parse_configuration(json.dumps(fields).encode())
-        self.assertEqual(found.routes['report'].repeat, tables.Repeat.ONCE)
+        self.assertEqual(found.routes['report'].repeat,
+                         tables.RepeatPolicy.ONCE)
 
     def test_what_is_no_document_is_told_and_not_raised(self):
         for data in (b'', b'{}', b'{"Version": 1, "Routes": 7}'):
@@ -308,8 +309,8 @@
         self.assertEqual(second.required_revision, second.revision)
         self.assertNotEqual(old.id, new.id)
         self.assertEqual((old.name, new.name), ('i-1', 'i-1'))
-        self.assertTrue(tables.follows(new, old))
-        self.assertFalse(tables.follows(old, new))
+        self.assertTrue(tables.has_replaced(new, old))
+        self.assertFalse(tables.has_replaced(old, new))
         # A heartbeat of the life before that was written late.
         self.standin.put('servers/i-1', _SERVER | {'born': 1_000, 'Seq': 71})
         third = self.store.watch(second)
--- a/tests/test_platform_grants.py
+++ b/tests/test_platform_grants.py
@@ -122,8 +122,8 @@
 
 def _divide(ranges: int) -> tuple[keyranges.KeyRange, ...]:
     """Returns equal ranges, which their fences keep apart."""
-    width = tables.KEYS // ranges
-    ends = [width * number for number in range(ranges)] + [tables.KEYS]
+    width = tables.KEY_COUNT // ranges
+    ends = [width * number for number in range(ranges)] + [tables.KEY_COUNT]
     return tuple(
         keyranges.KeyRange(first, last - 1, 'a', number + 2)
         for number, (first, last) in enumerate(itertools.pairwise(ends)))
