--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -18,8 +18,8 @@
 
 from lentilmoor import clocks
 from lentilmoor import logs
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import ownership
 from lentilmoor.edge import ports
@@ -88,7 +88,7 @@
         self.silent: set[str] = set()
         self.granted: list[tuple[str, float] | None] = [None] * tables.KEY_COUNT
         self.saved: keyranges.Assignment | None = None
-        self.owned = beliefs.Beliefs(_HUB)
+        self.owned = controlstate.ControlState(_HUB)
         self._everything = _make_everything(entries, keyed, others)
         self._forwarder, self._actor = self._make_actor()
         self._reporter = reporting.Reporter(_HUB, self._forwarder, None,
@@ -289,9 +289,9 @@
     for entries, keyed, others in ((12, 15, 21), (59, 108, 148), (88, 95, 136)):
         model = HubModel(entries, keyed, others)
         model.run(6.0)
-        steps = model.owned.pace.steps
+        steps = model.owned.timing.steps
         spent = model.run(5.0) / 5
-        steps = (model.owned.pace.steps - steps) / 5
+        steps = (model.owned.timing.steps - steps) / 5
         print(f'  {entries:4} {keyed:4} {others:4} {spent:8.2f} {steps:6.0f}')
 
 
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -17,7 +17,7 @@
 
 from lentilmoor import logs
 from lentilmoor import outcomes
-from lentilmoor.edge import beliefs
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import elections
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import leases
@@ -143,7 +143,7 @@
     use_daemon_thread = True
 
     def __init__(self,
-                 owned: beliefs.Beliefs,
+                 owned: controlstate.ControlState,
                  forwarder: requests.Forwarder,
                  platform: ports.Platform,
                  logger,
@@ -158,8 +158,8 @@
           platform: The adapter.
           logger: Takes lines.
           watch_again: Starts to follow the store anew.
-          call: Has a thread make a call (see `beliefs.Context`); threads of
-            its own if None.
+          call: Has a thread make a call (see `controlstate.Context`); threads
+            of its own if None.
           wake: Asks for a tick soon, as something may be due.
         """
         super().__init__()
@@ -173,7 +173,7 @@
         self._clock = forwarder.clock
         # Servers that don't answer must not keep leases from being kept.
         self._store_calls = futures.ThreadPoolExecutor(STORE_THREADS, 'store')
-        self._context = beliefs.Context(
+        self._context = controlstate.Context(
             ports.make_peer(owned.instance, platform.settings),
             owned,
             forwarder,
@@ -202,10 +202,11 @@
         elif isinstance(message, DrainingReported):
             self._note_draining(message.servers)
         elif isinstance(message, AssignmentHeard):
-            self._owned.heard[message.assignment.service] = message.assignment
+            self._owned.peer_assignments[
+                message.assignment.service] = message.assignment
             self._publish()
         elif isinstance(message, Probe):
-            self._owned.entry_keep_at = 0.0
+            self._owned.entry_lease_due_at = 0.0
         elif isinstance(message, Leave):
             leases.leave(self._context, message.done)
         elif isinstance(message, Tick):
@@ -220,22 +221,23 @@
 
     def _note_late(self, tick: Tick) -> None:
         """Tells if messages wait: all that this entry decides is late then."""
-        pace, now = self._owned.pace, self._clock.now()
-        pace.late_ms = now - (now if tick.sent_at is None else tick.sent_at)
-        if pace.late_ms < LATE_MS or now - pace.told_at < LATE_AGAIN_MS:
+        pace, now = self._owned.timing, self._clock.now()
+        pace.tick_delay_ms = now - (now
+                                    if tick.sent_at is None else tick.sent_at)
+        if pace.tick_delay_ms < LATE_MS or now - pace.logged_at < LATE_AGAIN_MS:
             return
-        pace.told_at = now
+        pace.logged_at = now
         self._logger.warning('control_late',
-                             late_ms=round(pace.late_ms),
+                             late_ms=round(pace.tick_delay_ms),
                              waiting=self.actor_inbox.qsize(),
                              steps=pace.steps,
                              step_ms=round(pace.step_ms))
 
     def _work(self) -> None:
         now = self._clock.now()
-        if self._owned.everything is None:
+        if self._owned.store_snapshot is None:
             return
-        pace = self._owned.pace
+        pace = self._owned.timing
         pace.pause_ms = find_pause(len(self._owned.servers))
         if now - self._stepped_at < pace.pause_ms:
             self._wake()
@@ -272,20 +274,21 @@
 
     def _take_store(self, everything: ports.StoreSnapshot, heard: bool) -> None:
         owned, now = self._owned, self._clock.now()
-        if owned.everything and everything.revision < owned.everything.revision:
+        if (owned.store_snapshot and
+                everything.revision < owned.store_snapshot.revision):
             return
-        if owned.lost_at and not heard:
+        if owned.store_lost_at and not heard:
             self._logger.info('store_regained',
-                              away_ms=round(now - owned.lost_at),
+                              away_ms=round(now - owned.store_lost_at),
                               revision=revisions.show(everything.revision))
-            owned.lost_at, owned.back_at = 0.0, now
-        before = owned.everything
+            owned.store_lost_at, owned.store_regained_at = 0.0, now
+        before = owned.store_snapshot
         listed = self._leave_out_unconfigured(_keep_newer(before, everything))
         restored = before is not None and _is_restored(before, listed)
         if restored:
             lifetimes.doubt_returned(owned, listed, now)
         everything = lifetimes.leave_out_unproven(owned, listed)
-        self._listed, owned.everything = listed, everything
+        self._listed, owned.store_snapshot = listed, everything
         if restored:
             self._take_restore(before)
         self._take_servers(everything, now)
@@ -299,7 +302,7 @@
                               revision=revisions.show(everything.revision))
             self._forwarder.index = matching.make_index(configuration.routes)
             for name in configuration.list_keyed():
-                owned.roles.setdefault(name, beliefs.Role())
+                owned.roles.setdefault(name, controlstate.CoordinatorRole())
         elections.follow_rivals(self._context)
         self._publish()
 
@@ -312,9 +315,9 @@
     def _take_servers(self, everything: ports.StoreSnapshot,
                       now: float) -> None:
         owned = self._owned
-        ended_before = set(owned.ended)
+        ended_before = set(owned.ended_servers)
         lifetimes.end_predecessors(owned, everything)
-        for name in (owned.ended - ended_before) & owned.servers.keys():
+        for name in (owned.ended_servers - ended_before) & owned.servers.keys():
             suspects.note_replaced(self._forwarder, owned.servers[name])
         for name in lifetimes.take_back_ends(owned, everything):
             self._logger.info('server_up_after_all', server=name)
@@ -322,14 +325,17 @@
         for name, server in everything.servers.items():
             owned.servers[name] = self._mark_draining(
                 date_draining(server, owned.servers.get(name), known_at))
-            owned.missing.pop(name, None)
+            owned.removal_times.pop(name, None)
         # Entries run out while a store is away that nobody has found silent
         # yet: its news come before it is known to be back.
-        back_at = now if owned.doubted else owned.back_at
+        back_at = (now
+                   if owned.is_renewal_unanswered else owned.store_regained_at)
         for name in owned.servers:
-            if name not in everything.servers and name not in owned.missing:
+            if (name not in everything.servers and
+                    name not in owned.removal_times):
                 suspects.note_unlisted(self._forwarder, owned.servers[name])
-                owned.missing[name] = max(now, back_at + ownership.RETURN_MS)
+                owned.removal_times[name] = max(now,
+                                                back_at + ownership.RETURN_MS)
                 owned.servers[name] = dataclasses.replace(owned.servers[name],
                                                           unlisted_at=known_at)
 
@@ -350,13 +356,13 @@
         owned = self._owned
         newly_draining = [
             name for name in servers
-            if name in owned.servers and name not in owned.draining
+            if name in owned.servers and name not in owned.draining_since
         ]
         if not newly_draining:
             return
         known_at = self._find_known_at(self._clock.now())
         for name in newly_draining:
-            owned.draining[name] = known_at
+            owned.draining_since[name] = known_at
             owned.servers[name] = self._mark_draining(owned.servers[name])
         self._logger.info('servers_reported_draining',
                           servers=newly_draining[:MOST_NAMED])
@@ -364,7 +370,7 @@
 
     def _mark_draining(self, server: tables.Server) -> tables.Server:
         """Returns the server, marked as draining if an entry reported it."""
-        draining_at = self._owned.draining.get(server.id)
+        draining_at = self._owned.draining_since.get(server.id)
         if draining_at is None or server.draining:
             return server
         return dataclasses.replace(server,
@@ -431,13 +437,13 @@
 
     def _expire_servers(self, now: float) -> None:
         owned = self._owned
-        gone = [name for name, at in owned.missing.items() if at <= now]
-        if not gone or owned.lost_at:
+        gone = [name for name, at in owned.removal_times.items() if at <= now]
+        if not gone or owned.store_lost_at:
             return
         for name in gone:
-            del owned.missing[name]
-            owned.draining.pop(name, None)
-            owned.left[name] = owned.servers.pop(name)
+            del owned.removal_times[name]
+            owned.draining_since.pop(name, None)
+            owned.departed_servers[name] = owned.servers.pop(name)
         self._logger.info('servers_gone',
                           count=len(gone),
                           servers=gone[:MOST_NAMED])
@@ -458,28 +464,28 @@
 
     def _take_loss(self, reason: outcomes.Reason) -> None:
         owned = self._owned
-        if not owned.lost_at:
-            owned.lost_at = self._clock.now()
+        if not owned.store_lost_at:
+            owned.store_lost_at = self._clock.now()
             self._logger.warning('store_lost', reason=reason.value)
 
     def _publish(self) -> None:
         owned = self._owned
-        everything = owned.everything
+        everything = owned.store_snapshot
         servers: dict[str, dict[str, tables.Server]] = {}
         for server in owned.servers.values():
-            if server.id not in owned.ended:
+            if server.id not in owned.ended_servers:
                 servers.setdefault(server.service, {})[server.id] = server
         assignments = {
             name: saved.assignment
             for name, saved in everything.assignments.items()
         }
-        for name, heard in owned.heard.items():
+        for name, heard in owned.peer_assignments.items():
             known = assignments.get(name)
             if known is None or keyranges.is_newer(heard, known):
                 assignments[name] = heard
         for name, role in owned.roles.items():
-            if role.state is not None:
-                assignments[name] = role.state.assignment
+            if role.coordination_state is not None:
+                assignments[name] = role.coordination_state.assignment
         forwarder = self._forwarder
         with forwarder.changed:
             forwarder.snapshot = tables.RoutingSnapshot(
@@ -491,7 +497,7 @@
         for service, rows in found.items():
             role = self._owned.roles.get(service)
             if role is not None:
-                role.measured.add(rows, self._clock.now())
+                role.load_table.add(rows, self._clock.now())
 
 
 def date_draining(server: tables.Server, known: tables.Server | None,
--- a/lentilmoor/edge/beliefs.py
+++ b/lentilmoor/edge/controlstate.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Role:
+class CoordinatorRole:
     """This entry's part in coordinating one service.
 
     Attributes:
@@ -27,15 +27,15 @@
       measured: Loads that entries reported.
     """
 
-    stand_at: float = 0.0
-    busy: bool = False
-    state: ownership.Coordination | None = None
-    measured: loads.LoadTable = dataclasses.field(
+    candidacy_at: float = 0.0
+    is_call_pending: bool = False
+    coordination_state: ownership.Coordination | None = None
+    load_table: loads.LoadTable = dataclasses.field(
         default_factory=loads.LoadTable)
 
 
 @dataclasses.dataclass(slots=True)
-class Pace:
+class ActorTiming:
     """Whether the actor keeps up with its messages.
 
     Attributes:
@@ -49,12 +49,12 @@
     pause_ms: float = 0.0
     steps: int = 0
     step_ms: float = 0.0
-    late_ms: float = 0.0
-    told_at: float = float('-inf')
+    tick_delay_ms: float = 0.0
+    logged_at: float = float('-inf')
 
 
 @dataclasses.dataclass(slots=True)
-class Beliefs:
+class ControlState:
     """All that the actor owns.
 
     Attributes:
@@ -87,32 +87,34 @@
     """
 
     instance: str
-    everything: ports.StoreSnapshot | None = None
-    lost_at: float = 0.0
-    back_at: float = float('-inf')
+    store_snapshot: ports.StoreSnapshot | None = None
+    store_lost_at: float = 0.0
+    store_regained_at: float = float('-inf')
     servers: dict[str, tables.Server] = dataclasses.field(default_factory=dict)
-    draining: dict[str, float] = dataclasses.field(default_factory=dict)
-    missing: dict[str, float] = dataclasses.field(default_factory=dict)
-    left: dict[str, tables.Server] = dataclasses.field(default_factory=dict)
-    unproven: dict[str, float] = dataclasses.field(default_factory=dict)
-    ended: set[str] = dataclasses.field(default_factory=set)
-    heard: dict[str,
-                keyranges.Assignment] = dataclasses.field(default_factory=dict)
-    roles: dict[str, Role] = dataclasses.field(default_factory=dict)
-    lease: ports.Lease | None = None
-    lease_sent_at: float = 0.0
-    keep_at: float = 0.0
-    handing_over: str = ''
-    unlinked_grants: int = 0
+    draining_since: dict[str, float] = dataclasses.field(default_factory=dict)
+    removal_times: dict[str, float] = dataclasses.field(default_factory=dict)
+    departed_servers: dict[str, tables.Server] = dataclasses.field(
+        default_factory=dict)
+    unconfirmed_servers: dict[str,
+                              float] = dataclasses.field(default_factory=dict)
+    ended_servers: set[str] = dataclasses.field(default_factory=set)
+    peer_assignments: dict[str, keyranges.Assignment] = dataclasses.field(
+        default_factory=dict)
+    roles: dict[str, CoordinatorRole] = dataclasses.field(default_factory=dict)
+    coordinator_lease: ports.Lease | None = None
+    lease_renewed_at: float = 0.0
+    lease_due_at: float = 0.0
+    handover_reason: str = ''
+    new_connection_grants: int = 0
     entry_lease: ports.Lease | None = None
-    entry_keep_at: float = 0.0
-    entry_keeping: bool = False
-    suspects_at: float = 0.0
-    doubted: bool = False
-    leaving: bool = False
-    handed_over: threading.Event = dataclasses.field(
+    entry_lease_due_at: float = 0.0
+    is_entry_lease_pending: bool = False
+    suspects_due_at: float = 0.0
+    is_renewal_unanswered: bool = False
+    is_stopping: bool = False
+    handover_done: threading.Event = dataclasses.field(
         default_factory=threading.Event)
-    pace: Pace = dataclasses.field(default_factory=Pace)
+    timing: ActorTiming = dataclasses.field(default_factory=ActorTiming)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -136,7 +138,7 @@
     """
 
     peer: ports.Peer
-    owned: Beliefs
+    owned: ControlState
     forwarder: requests.Forwarder
     platform: ports.Platform
     logger: logs.Logger
@@ -144,12 +146,12 @@
     clock: clocks.Clock
     call: Callable[..., None]
     publish: Callable[[], None]
-    watch_again: Callable[[], None]
+    restart_following: Callable[[], None]
     server_calls: futures.Executor
     release_calls: futures.Executor
 
 
-def is_ended(result) -> bool:
+def is_lease_expired(result) -> bool:
     """Returns whether the store answered that a lease has ended."""
     return (isinstance(result, outcomes.Failed) and
             result.reason is outcomes.Reason.NOT_FOUND)
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -1,7 +1,7 @@
 """How an entry becomes the coordinator of a keyed service, and ceases to be."""
 
 from lentilmoor import outcomes
-from lentilmoor.edge import beliefs
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import coordination
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import ownership
@@ -24,91 +24,92 @@
 SETTLE_MS = 1_500.0
 
 
-def stand(context: beliefs.Context, name: str, role: beliefs.Role,
-          now: float) -> None:
+def stand(context: controlstate.Context, name: str,
+          role: controlstate.CoordinatorRole, now: float) -> None:
     """Stands for coordinator if there is none."""
     owned = context.owned
-    coordinator = owned.everything.coordinators.get(name)
-    if owned.handing_over or role.busy or owned.lost_at:
+    coordinator = owned.store_snapshot.coordinators.get(name)
+    if owned.handover_reason or role.is_call_pending or owned.store_lost_at:
         return
     replaced = 0
     if coordinator is not None and coordinator.instance != owned.instance:
         if not _is_succeeded(role, coordinator):
-            role.stand_at = 0.0
+            role.candidacy_at = 0.0
             return
         replaced = coordinator.registration_revision
-    elif (coordinator is not None and role.state is not None and
-          owned.lease is not None):
+    elif (coordinator is not None and role.coordination_state is not None and
+          owned.coordinator_lease is not None):
         return
     # Pauses begin here, or all would have passed when the service may begin.
     if not _may_begin(context, name, now):
         return
-    if not role.stand_at:
+    if not role.candidacy_at:
         pause_ms = STAND_MS * context.forwarder.generator.random()
         if context.peer.small:
             pause_ms += LARGER_MS if _find_larger(context) else SMALL_MS
-        role.stand_at = now + (0.0 if role.state else pause_ms)
-    if now < role.stand_at:
+        role.candidacy_at = now + (0.0 if role.coordination_state else pause_ms)
+    if now < role.candidacy_at:
         return
-    role.stand_at = now + STAND_AGAIN_MS
-    role.busy = True
+    role.candidacy_at = now + STAND_AGAIN_MS
+    role.is_call_pending = True
     context.call(lambda: _take_role(context, name, replaced),
                  lambda result, sent: _role_taken(context, name, role, result))
 
 
-def make_way(context: beliefs.Context, now: float) -> None:
+def make_way(context: controlstate.Context, now: float) -> None:
     """Has an entry on a small machine leave its roles to a larger one."""
     owned = context.owned
-    if owned.handing_over:
-        if owned.lease is None and not owned.leaving:
+    if owned.handover_reason:
+        if owned.coordinator_lease is None and not owned.is_stopping:
             _note_handed_over(owned, now)
         return
-    if not context.peer.small or owned.lost_at or owned.lease is None:
+    if (not context.peer.small or owned.store_lost_at or
+            owned.coordinator_lease is None):
         return
-    held = [role for role in owned.roles.values() if role.state]
+    held = [role for role in owned.roles.values() if role.coordination_state]
     if not held or not _find_larger(context):
         return
-    if now - max(role.state.since for role in held) < MAKE_WAY_MS:
+    if now - max(role.coordination_state.since for role in held) < MAKE_WAY_MS:
         return
-    owned.handing_over = 'an entry on a larger machine is there'
-    owned.keep_at = 0.0
+    owned.handover_reason = 'an entry on a larger machine is there'
+    owned.lease_due_at = 0.0
 
 
-def _note_handed_over(owned: beliefs.Beliefs, now: float) -> None:
+def _note_handed_over(owned: controlstate.ControlState, now: float) -> None:
     """Leaves others time to take the roles."""
-    owned.handing_over = ''
+    owned.handover_reason = ''
     for role in owned.roles.values():
-        role.stand_at = now + LARGER_MS
+        role.candidacy_at = now + LARGER_MS
 
 
-def _find_larger(context: beliefs.Context) -> bool:
+def _find_larger(context: controlstate.Context) -> bool:
     """Returns whether an entry on a machine that isn't small is registered."""
-    return any(
-        not peer.small for peer in context.owned.everything.entries.values())
+    return any(not peer.small
+               for peer in context.owned.store_snapshot.entries.values())
 
 
-def follow_rivals(context: beliefs.Context) -> None:
+def follow_rivals(context: controlstate.Context) -> None:
     """Gives up roles that another entry has taken."""
     for name, role in context.owned.roles.items():
-        if role.state is None:
+        if role.coordination_state is None:
             continue
-        follow_restore(context, name, role.state)
-        coordinator = context.owned.everything.coordinators.get(name)
+        follow_restore(context, name, role.coordination_state)
+        coordinator = context.owned.store_snapshot.coordinators.get(name)
         rival = (coordinator is not None and
                  coordinator.instance != context.owned.instance and
                  not _is_succeeded(role, coordinator))
-        saved = context.owned.everything.assignments.get(name)
+        saved = context.owned.store_snapshot.assignments.get(name)
         if rival:
             resign(context, name, role, 'another entry coordinates')
-        elif saved and keyranges.is_later_term(saved.assignment,
-                                               role.state.assignment):
+        elif saved and keyranges.is_later_term(
+                saved.assignment, role.coordination_state.assignment):
             resign(context, name, role, 'another entry has coordinated')
 
 
-def follow_restore(context: beliefs.Context, name: str,
+def follow_restore(context: controlstate.Context, name: str,
                    state: ownership.Coordination) -> None:
     """Has a coordinator take in that the store was restored, if it was."""
-    everything = context.owned.everything
+    everything = context.owned.store_snapshot
     if revisions.find_era(everything.revision) <= state.era:
         return
     saved = everything.assignments.get(name)
@@ -120,17 +121,19 @@
                         saved_revision=revisions.show(state.revision))
 
 
-def _is_succeeded(role: beliefs.Role, coordinator: ports.Peer) -> bool:
+def _is_succeeded(role: controlstate.CoordinatorRole,
+                  coordinator: ports.Peer) -> bool:
     """Returns whether this entry has taken over from a listed coordinator.
 
     A restore of the store may bring back the election that came before.
     """
-    return role.state is not None and (0 < coordinator.registration_revision <=
-                                       role.state.restored_revision)
+    return role.coordination_state is not None and (
+        0 < coordinator.registration_revision <=
+        role.coordination_state.restored_revision)
 
 
-def resign(context: beliefs.Context, name: str, role: beliefs.Role,
-           reason: str) -> None:
+def resign(context: controlstate.Context, name: str,
+           role: controlstate.CoordinatorRole, reason: str) -> None:
     """Gives up coordinating a service.
 
     Args:
@@ -140,8 +143,8 @@
       reason: Why, for the log.
     """
     context.logger.info('coordination_ended', service=name, reason=reason)
-    _keep_newest(context.owned, name, role.state.assignment)
-    role.state = None
+    _keep_newest(context.owned, name, role.coordination_state.assignment)
+    role.coordination_state = None
     context.forwarder.coordinated = {
         service: told
         for service, told in context.forwarder.coordinated.items()
@@ -149,13 +152,13 @@
     }
 
 
-def _keep_newest(owned: beliefs.Beliefs, name: str,
+def _keep_newest(owned: controlstate.ControlState, name: str,
                  assignment: keyranges.Assignment) -> None:
-    owned.heard[name] = keyranges.find_newest(
-        [owned.heard.get(name), assignment])
+    owned.peer_assignments[name] = keyranges.find_newest(
+        [owned.peer_assignments.get(name), assignment])
 
 
-def keep_assignments(owned: beliefs.Beliefs,
+def keep_assignments(owned: controlstate.ControlState,
                      before: ports.StoreSnapshot) -> None:
     """Keeps what was known of assignments, as a restored store may lack it.
 
@@ -167,18 +170,19 @@
         _keep_newest(owned, name, saved.assignment)
 
 
-def _may_begin(context: beliefs.Context, name: str, now: float) -> bool:
+def _may_begin(context: controlstate.Context, name: str, now: float) -> bool:
     servers = [
         item for item in context.owned.servers.values()
         if item.service == name and not item.draining
     ]
-    if name in context.owned.everything.assignments:
+    if name in context.owned.store_snapshot.assignments:
         return True
     return bool(servers) and (now - min(item.seen_at for item in servers)
                               >= SETTLE_MS)
 
 
-def _take_role(context: beliefs.Context, name: str, replaced: int) -> object:
+def _take_role(context: controlstate.Context, name: str,
+               replaced: int) -> object:
     """Takes the role in the store; run by a thread.
 
     Args:
@@ -187,7 +191,7 @@
       replaced: Revision of the election that is overwritten; 0 if none.
     """
     owned, store = context.owned, context.platform.store
-    lease = owned.lease
+    lease = owned.coordinator_lease
     sent_at = context.clock.now()
     if lease is None:
         lease = store.open_lease(ownership.LEASE_MS)
@@ -199,28 +203,30 @@
     return lease, sent_at
 
 
-def _role_taken(context: beliefs.Context, name: str, role: beliefs.Role,
-                result) -> None:
+def _role_taken(context: controlstate.Context, name: str,
+                role: controlstate.CoordinatorRole, result) -> None:
     owned = context.owned
     if isinstance(result, outcomes.Failed):
-        role.busy = False
-        if beliefs.is_ended(result):
-            owned.lease = None
+        role.is_call_pending = False
+        if controlstate.is_lease_expired(result):
+            owned.coordinator_lease = None
         return
     lease, sent_at = result
-    if owned.lease is None or owned.lease.id != lease.id:
-        owned.lease, owned.lease_sent_at = lease, sent_at
-        owned.keep_at = context.clock.now() + KEEP_MS
-    if owned.handing_over:
-        role.busy, owned.keep_at = False, 0.0
+    if (owned.coordinator_lease is None or
+            owned.coordinator_lease.id != lease.id):
+        owned.coordinator_lease, owned.lease_renewed_at = lease, sent_at
+        owned.lease_due_at = context.clock.now() + KEEP_MS
+    if owned.handover_reason:
+        role.is_call_pending, owned.lease_due_at = False, 0.0
         return
-    if role.state is not None and not role.state.lost:
-        role.busy = False
+    if role.coordination_state is not None and not role.coordination_state.lost:
+        role.is_call_pending = False
         return
     _begin(context, name, role)
 
 
-def _begin(context: beliefs.Context, name: str, role: beliefs.Role) -> None:
+def _begin(context: controlstate.Context, name: str,
+           role: controlstate.CoordinatorRole) -> None:
     """Begins from the assignment as it is now: what was heard may be older."""
 
     def take(saved, unused_sent_at) -> None:
@@ -232,7 +238,8 @@
     context.call(lambda: context.platform.store.load_assignment(name), take)
 
 
-def _save_first(context: beliefs.Context, name: str, role: beliefs.Role,
+def _save_first(context: controlstate.Context, name: str,
+                role: controlstate.CoordinatorRole,
                 saved: ports.SavedAssignment | None) -> None:
     """Saves the assignment that this coordinator begins with."""
     owned = context.owned
@@ -244,7 +251,7 @@
     servers = {
         item.id: item for item in owned.servers.values() if item.service == name
     }
-    era = revisions.find_era(max(revision, owned.everything.revision))
+    era = revisions.find_era(max(revision, owned.store_snapshot.revision))
     plan = coordination.plan_succession(name, known, servers, owned.instance,
                                         era)
     assignment = plan.assignment
@@ -253,8 +260,8 @@
         if isinstance(result, outcomes.Failed):
             _note_not_begun(context, name, role, result)
             return
-        role.busy = False
-        if owned.handing_over:
+        role.is_call_pending = False
+        if owned.handover_reason:
             return
         context.logger.info('coordination_begun',
                             service=name,
@@ -262,20 +269,21 @@
                             waits=plan.may_lack_moves,
                             revision=revisions.show(result),
                             ranges=len(assignment.ranges))
-        role.measured.seed_works(assignment.works)
-        role.state = coordination.begin(
+        role.load_table.seed_works(assignment.works)
+        role.coordination_state = coordination.begin(
             assignment, result, context.clock.now(), plan.predecessor,
             context.platform.settings.bounds.hold_max_ms, plan.may_lack_moves)
-        role.state.predecessor_save_revision = revision
+        role.coordination_state.predecessor_save_revision = revision
         context.publish()
 
     context.call(lambda: context.platform.store.save(assignment, revision),
                  take)
 
 
-def _note_not_begun(context: beliefs.Context, name: str, role: beliefs.Role,
+def _note_not_begun(context: controlstate.Context, name: str,
+                    role: controlstate.CoordinatorRole,
                     failed: outcomes.Failed) -> None:
-    role.busy = False
+    role.is_call_pending = False
     context.logger.info('coordination_not_begun',
                         service=name,
                         reason=failed.reason.value)
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -18,8 +18,8 @@
 from lentilmoor import shutdowns
 from lentilmoor import signals
 from lentilmoor import tries
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import following
@@ -92,7 +92,7 @@
     listeners: list[listening.Listener] = dataclasses.field(
         default_factory=list)
     follower: knowledge.Follower | None = None
-    pace: beliefs.Pace | None = None
+    pace: controlstate.ActorTiming | None = None
     hurry: threading.Event = dataclasses.field(default_factory=threading.Event)
 
 
@@ -163,8 +163,8 @@
         platform.settings.control, clock, logger, socket_options)
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
                   measures.Measures(clock))
-    owned = beliefs.Beliefs(instance)
-    entry.pace = owned.pace
+    owned = controlstate.ControlState(instance)
+    entry.pace = owned.timing
     entry.actor = control.Control.start(
         owned,
         forwarder,
@@ -278,7 +278,7 @@
             requests.find_age(entry.forwarder,
                               entry.forwarder.departure.checked_at),
         'control_late_ms':
-            entry.pace.late_ms,
+            entry.pace.tick_delay_ms,
         'control_steps':
             float(entry.pace.steps),
         'control_step_ms':
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -82,7 +82,7 @@
                                picks.FULL_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
-    patience_ms = request.fields.timeout_ms or PATIENCE_MS
+    patience_ms = request.fields.caller_timeout_ms or PATIENCE_MS
     until = request.arrived_at + min(patience_ms - WAY_BACK_MS,
                                      route.timeout_ms)
     run = requests.Run(request, route, service, until)
@@ -133,7 +133,7 @@
 
 
 def _find_wait_end(request: requests.Request) -> float:
-    patience_ms = request.fields.timeout_ms or PATIENCE_MS
+    patience_ms = request.fields.caller_timeout_ms or PATIENCE_MS
     return request.arrived_at + START_WAIT_PART * patience_ms
 
 
--- a/lentilmoor/edge/lifetimes.py
+++ b/lentilmoor/edge/lifetimes.py
@@ -8,7 +8,7 @@
 import collections
 import dataclasses
 
-from lentilmoor.edge import beliefs
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import ports
 from lentilmoor.edge import tables
 
@@ -16,7 +16,7 @@
 UNPROVEN_MS = 4_000.0
 
 
-def end_predecessors(owned: beliefs.Beliefs,
+def end_predecessors(owned: controlstate.ControlState,
                      everything: ports.StoreSnapshot) -> None:
     """Notes whose processes have ended, as others are in their place.
 
@@ -30,18 +30,18 @@
     """
     new = [
         server for name, server in everything.servers.items()
-        if name not in owned.servers and name not in owned.ended
+        if name not in owned.servers and name not in owned.ended_servers
     ]
     if not new:
         return
-    known = [*owned.servers.values(), *owned.left.values()]
+    known = [*owned.servers.values(), *owned.departed_servers.values()]
     for server in new:
         others = known if server.started_at is None else known + new
-        owned.ended.update(
+        owned.ended_servers.update(
             other.id for other in others if tables.has_replaced(server, other))
 
 
-def take_back_ends(owned: beliefs.Beliefs,
+def take_back_ends(owned: controlstate.ControlState,
                    everything: ports.StoreSnapshot) -> list[str]:
     """Takes servers for up that are listed alone at their address.
 
@@ -51,7 +51,7 @@
     Returns:
       Their ids.
     """
-    ended = owned.ended & everything.servers.keys()
+    ended = owned.ended_servers & everything.servers.keys()
     if not ended:
         return []
     listed = collections.Counter(
@@ -60,13 +60,13 @@
     for name in ended:
         server = everything.servers[name]
         if server.started_at is None and listed[server.address] == 1:
-            owned.ended.discard(name)
+            owned.ended_servers.discard(name)
             found.append(name)
     return found
 
 
-def doubt_returned(owned: beliefs.Beliefs, everything: ports.StoreSnapshot,
-                   now: float) -> None:
+def doubt_returned(owned: controlstate.ControlState,
+                   everything: ports.StoreSnapshot, now: float) -> None:
     """Notes which servers had left and are listed again by a restored store.
 
     Args:
@@ -75,29 +75,32 @@
       now: ms.
     """
     for name in everything.servers:
-        if name in owned.left or name in owned.missing or name in owned.ended:
-            owned.unproven[name] = now + UNPROVEN_MS
+        if (name in owned.departed_servers or name in owned.removal_times or
+                name in owned.ended_servers):
+            owned.unconfirmed_servers[name] = now + UNPROVEN_MS
 
 
-def leave_out_unproven(owned: beliefs.Beliefs,
+def leave_out_unproven(owned: controlstate.ControlState,
                        everything: ports.StoreSnapshot) -> ports.StoreSnapshot:
     """Leaves out servers whose entry may be that of a process that has left."""
-    if not owned.unproven:
+    if not owned.unconfirmed_servers:
         return everything
-    for name in owned.unproven.keys() - everything.servers.keys():
-        del owned.unproven[name]
+    for name in owned.unconfirmed_servers.keys() - everything.servers.keys():
+        del owned.unconfirmed_servers[name]
     return dataclasses.replace(
         everything,
         servers={
             name: server
             for name, server in everything.servers.items()
-            if name not in owned.unproven
+            if name not in owned.unconfirmed_servers
         })
 
 
-def prove_returned(owned: beliefs.Beliefs, now: float) -> list[str]:
+def prove_returned(owned: controlstate.ControlState, now: float) -> list[str]:
     """Returns servers that are still listed and count as up from now on."""
-    proven = [name for name, at in owned.unproven.items() if at <= now]
+    proven = [
+        name for name, at in owned.unconfirmed_servers.items() if at <= now
+    ]
     for name in proven:
-        del owned.unproven[name]
+        del owned.unconfirmed_servers[name]
     return proven
--- a/lentilmoor/edge/ports.py
+++ b/lentilmoor/edge/ports.py
@@ -274,7 +274,7 @@
     """
 
     request_id: str
-    timeout_ms: float | None
+    caller_timeout_ms: float | None
     key: int | None
 
 
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from lentilmoor import outcomes
-from lentilmoor.edge import beliefs
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import coordination
 from lentilmoor.edge import elections
 from lentilmoor.edge import holds
@@ -15,10 +15,10 @@
 from lentilmoor.edge import tables
 
 
-def coordinate(context: beliefs.Context, name: str, role: beliefs.Role,
-               now: float) -> None:
+def coordinate(context: controlstate.Context, name: str,
+               role: controlstate.CoordinatorRole, now: float) -> None:
     """Has the coordinator of a service do what is due now."""
-    state, owned = role.state, context.owned
+    state, owned = role.coordination_state, context.owned
     if state is None:
         return
     elections.follow_restore(context, name, state)
@@ -26,10 +26,10 @@
         elections.resign(context, name, role,
                          'a server has seen a higher fence')
         return
-    if owned.handing_over and owned.lease is None:
-        elections.resign(context, name, role, owned.handing_over)
+    if owned.handover_reason and owned.coordinator_lease is None:
+        elections.resign(context, name, role, owned.handover_reason)
         return
-    if now - owned.lease_sent_at > ownership.TENURE_MS:
+    if now - owned.lease_renewed_at > ownership.TENURE_MS:
         elections.resign(context, name, role,
                          'the lease was not renewed for too long')
         return
@@ -39,15 +39,15 @@
     servers = {
         item.id: item
         for item in owned.servers.values()
-        if item.service == name and item.id not in owned.ended
+        if item.service == name and item.id not in owned.ended_servers
     }
     view = ownership.View(
-        servers, frozenset(owned.ended), owned.left,
-        role.measured.key_loads(now),
-        role.measured.capacities(
+        servers, frozenset(owned.ended_servers), owned.departed_servers,
+        role.load_table.key_loads(now),
+        role.load_table.capacities(
             servers.values(), now,
             ratelimits.list_rates(context.forwarder.rate_limits)),
-        role.measured.list_works(servers.values()))
+        role.load_table.list_works(servers.values()))
     known = len(state.moves)
     for action in coordination.plan(state, view, now):
         _carry_out(context, state, action)
@@ -55,11 +55,11 @@
         _log_moves(context, state, view, len(state.moves) - known)
     told = tables.CoordinatorStatus(
         moves.list_unserved(state),
-        role.measured.estimate_works(servers.values()))
+        role.load_table.estimate_works(servers.values()))
     context.forwarder.coordinated = context.forwarder.coordinated | {name: told}
 
 
-def _log_moves(context: beliefs.Context, state: ownership.Coordination,
+def _log_moves(context: controlstate.Context, state: ownership.Coordination,
                view: ownership.View, count: int) -> None:
     found = rebalancing.measure_evenness(state.assignment.ranges, view.loads,
                                          view.capacities)
@@ -70,7 +70,7 @@
                         **dataclasses.asdict(found))
 
 
-def _is_replaced(context: beliefs.Context,
+def _is_replaced(context: controlstate.Context,
                  instance: str,
                  after_revision: int = 0) -> bool:
     """Returns whether a later process runs in an instance's place.
@@ -85,7 +85,7 @@
         Registrations up to this revision are ignored.
     """
     place = instance.rpartition('.')[0]
-    entries = context.owned.everything.entries
+    entries = context.owned.store_snapshot.entries
     if instance in entries:
         after_revision = max(after_revision,
                              entries[instance].registration_revision)
@@ -95,7 +95,7 @@
         for other, peer in entries.items())
 
 
-def _carry_out(context: beliefs.Context, state: ownership.Coordination,
+def _carry_out(context: controlstate.Context, state: ownership.Coordination,
                action: ownership.Action) -> None:
     if isinstance(action, ownership.Grant):
         _start_grant(context, state, action)
@@ -117,27 +117,27 @@
             lambda result, sent: _saved(context, state, action, result))
 
 
-def _start_grant(context: beliefs.Context, state: ownership.Coordination,
+def _start_grant(context: controlstate.Context, state: ownership.Coordination,
                  grant: ownership.Grant) -> None:
     owned = context.owned
     unlinked = grant.link is None
-    if unlinked and owned.handing_over:
+    if unlinked and owned.handover_reason:
         # It could arrive after a successor has taken the role.
         _granted(context, state, grant,
                  ownership.GrantResult(ownership.Answer.NOT_SENT),
                  context.clock.now())
         return
-    owned.unlinked_grants += unlinked
+    owned.new_connection_grants += unlinked
 
     def take(result: ownership.GrantResult, sent_at: float) -> None:
-        owned.unlinked_grants -= unlinked
+        owned.new_connection_grants -= unlinked
         _granted(context, state, grant, result, sent_at)
 
     context.call(lambda: _send_grant(context, grant), take,
                  context.server_calls)
 
 
-def _granted(context: beliefs.Context, state: ownership.Coordination,
+def _granted(context: controlstate.Context, state: ownership.Coordination,
              grant: ownership.Grant, granted: ownership.GrantResult,
              sent_at: float) -> None:
     now = context.clock.now()
@@ -161,7 +161,7 @@
                         first=grant.item.first)
 
 
-def _released(context: beliefs.Context, state: ownership.Coordination,
+def _released(context: controlstate.Context, state: ownership.Coordination,
               release: ownership.Release, answer: ownership.Answer,
               token: str) -> None:
     coordination.note_released(state, release, answer, token,
@@ -175,10 +175,10 @@
                         handed_over=bool(token))
 
 
-def _send_grant(context: beliefs.Context,
+def _send_grant(context: controlstate.Context,
                 grant: ownership.Grant) -> ownership.GrantResult:
     """Sends a grant unless it is out of date; run by a thread."""
-    now, kept_at = context.clock.now(), context.owned.lease_sent_at
+    now, kept_at = context.clock.now(), context.owned.lease_renewed_at
     if (now - kept_at > ownership.TENURE_MS or
             now - grant.planned_at > ownership.STALE_MS or
             grant.link is None and not ownership.may_link(kept_at, now)):
@@ -186,7 +186,7 @@
     return context.platform.servers.grant(grant)
 
 
-def _saved(context: beliefs.Context, state: ownership.Coordination,
+def _saved(context: controlstate.Context, state: ownership.Coordination,
            save: ownership.Save, result) -> None:
     if not isinstance(result, outcomes.Failed):
         coordination.note_saved(state, save, result)
--- a/lentilmoor/edge/savedsuspects.py
+++ b/lentilmoor/edge/savedsuspects.py
@@ -3,7 +3,7 @@
 from lentilmoor import crashes
 from lentilmoor import outcomes
 from lentilmoor import quarantine
-from lentilmoor.edge import beliefs
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import ports
 from lentilmoor.edge import suspects
 
@@ -11,7 +11,7 @@
 SAVE_AGAIN_MS = 1_000.0
 
 
-def take(context: beliefs.Context, before: ports.StoreSnapshot | None,
+def take(context: controlstate.Context, before: ports.StoreSnapshot | None,
          everything: ports.StoreSnapshot) -> None:
     """Takes in blocked requests that are new in the store."""
     known = before.suspects if before else {}
@@ -27,13 +27,14 @@
         suspects.merge(context.forwarder, evidence, now)
 
 
-def keep(context: beliefs.Context, now: float) -> None:
+def keep(context: controlstate.Context, now: float) -> None:
     """Has the store hold what is blocked, if this entry is the first hub."""
     owned, forwarder = context.owned, context.forwarder
-    saved = owned.everything.suspects
-    if not (forwarder.suspects.suspects or saved) or now < owned.suspects_at:
+    saved = owned.store_snapshot.suspects
+    if not (forwarder.suspects.suspects or
+            saved) or now < owned.suspects_due_at:
         return
-    if not forwarder.tries_suspects or owned.lost_at:
+    if not forwarder.tries_suspects or owned.store_lost_at:
         return
     blocked = quarantine.list_condemned(forwarder.suspects)
     for fingerprint, suspect in blocked.items():
@@ -43,7 +44,7 @@
             return
     for name, known in saved.items():
         if known.fingerprint not in blocked:
-            owned.suspects_at = now + SAVE_AGAIN_MS
+            owned.suspects_due_at = now + SAVE_AGAIN_MS
             context.logger.info('suspect_forgotten', fingerprint=name)
             context.call(
                 lambda known=known: context.platform.store.delete_suspect(known
@@ -56,9 +57,9 @@
     return {crash.server for crash in suspect.crashes}
 
 
-def _save(context: beliefs.Context, now: float, fingerprint: bytes,
+def _save(context: controlstate.Context, now: float, fingerprint: bytes,
           suspect: crashes.Suspect, known: ports.SavedSuspect | None) -> None:
-    context.owned.suspects_at = now + SAVE_AGAIN_MS
+    context.owned.suspects_due_at = now + SAVE_AGAIN_MS
     revision = 0 if known is None else known.revision
     found = ports.SavedSuspect(fingerprint, suspect.service,
                                tuple(suspect.crashes), revision)
@@ -69,7 +70,7 @@
                  lambda result, unused_at: _note_result(context, result))
 
 
-def _note_result(context: beliefs.Context,
+def _note_result(context: controlstate.Context,
                  result: outcomes.Failed | None) -> None:
     if result is not None:
         context.logger.warning('suspect_not_saved', reason=result.reason.value)
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -16,8 +16,8 @@
 from lentilmoor import httpcalls
 from lentilmoor import logs
 from lentilmoor import outcomes
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import following
 from lentilmoor.edge import forwarding
 from lentilmoor.edge import knowledge
@@ -87,8 +87,8 @@
         self.forwarder = requests.Forwarder(clock, platform, logger, None)
         self.forwarder.limits = settings.limits
         self.actor = control.Control.start(
-            beliefs.Beliefs(settings.instance), self.forwarder, platform,
-            logger, lambda: following.follow_again(self.follower))
+            controlstate.ControlState(settings.instance), self.forwarder,
+            platform, logger, lambda: following.follow_again(self.follower))
         reporter = reporting.Reporter(settings.instance, self.forwarder, self,
                                       self.actor.tell)
         self.follower = knowledge.Follower(
--- a/tests/test_edge_elections.py
+++ b/tests/test_edge_elections.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from lentilmoor import clocks
-from lentilmoor.edge import beliefs
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import elections
 from lentilmoor.edge import ports
 from lentilmoor.edge import roles
@@ -24,18 +24,18 @@
     def _find_begin(self, small: bool, seed: float) -> float:
         """Returns when an entry stands, from the first server on, ms."""
         time_ = clocks.ManualTime(50_000.0)
-        owned = beliefs.Beliefs('e1')
+        owned = controlstate.ControlState('e1')
         server = tables.Server('i-1', 'x', 'a:1', 'd', 2, False, 0.0,
                                time_.at + 3_000.0)
         larger = ports.Peer('e2', 'b:1')
-        owned.everything = ports.StoreSnapshot(None, {}, {}, {}, {'e2': larger},
-                                               1)
+        owned.store_snapshot = ports.StoreSnapshot(None, {}, {}, {},
+                                                   {'e2': larger}, 1)
         owned.servers = {'i-1': server}
         context = mock.Mock(owned=owned,
                             peer=ports.Peer('e1', 'a:9', small),
                             clock=time_.clock())
         context.forwarder.generator.random.return_value = seed
-        role = beliefs.Role()
+        role = controlstate.CoordinatorRole()
         while not context.call.called:
             time_.advance(_STEP_MS)
             elections.stand(context, 'x', role, time_.at)
@@ -65,8 +65,8 @@
     def test_an_earlier_process_of_its_place_proves_no_end(self):
         # The entry of a process that was killed is listed for 9 s more.
         earlier, later = ports.Peer('e1.a', 'a:1'), ports.Peer('e1.b', 'a:1')
-        owned = beliefs.Beliefs('e2.c')
-        owned.everything = ports.StoreSnapshot(None, {}, {}, {}, {
+        owned = controlstate.ControlState('e2.c')
+        owned.store_snapshot = ports.StoreSnapshot(None, {}, {}, {}, {
             'e1.a': earlier,
             'e1.b': later
         }, 1)
@@ -77,7 +77,7 @@
     def test_only_a_later_registration_replaces_an_entry(self):
         # A process that registered earlier must not shorten the wait, whether
         # or not the predecessor is still listed.
-        owned = beliefs.Beliefs('e2.c')
+        owned = controlstate.ControlState('e2.c')
         context = mock.Mock(owned=owned)
         for registrations, save_revision, expected in (({
                 'e1.a': 3,
@@ -101,8 +101,8 @@
                         ports.Peer(name, 'a:1', registration_revision=revision)
                     for name, revision in registrations.items()
                 }
-                owned.everything = ports.StoreSnapshot(None, {}, {}, {},
-                                                       entries, 1)
+                owned.store_snapshot = ports.StoreSnapshot(
+                    None, {}, {}, {}, entries, 1)
                 # pylint: disable-next=protected-access
                 found = roles._is_replaced(context, 'e1.b', save_revision)
                 self.assertEqual(found, expected)
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -44,7 +44,7 @@
         })
     forwarder = requests.Forwarder(clocks.make_suspend_clock(), platform,
                                    logs.make_logger('test'), None)
-    actor = control.Control.start(control.beliefs.Beliefs('e1'),
+    actor = control.Control.start(control.controlstate.ControlState('e1'),
                                   forwarder, platform, logs.make_logger('test'),
                                   mock.Mock())
     return actor, forwarder
--- a/tests/test_edge_handover.py
+++ b/tests/test_edge_handover.py
@@ -13,8 +13,8 @@
 from lentilmoor import clocks
 from lentilmoor import logs
 from lentilmoor import outcomes
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import elections
 from lentilmoor.edge import ownership
 from lentilmoor.edge import ports
@@ -51,7 +51,7 @@
         self._numbers = itertools.count(1)
         self._events: list = []
         self._seen: object = None
-        self.owned = beliefs.Beliefs('e1')
+        self.owned = controlstate.ControlState('e1')
         clock, logger = self.time.clock(), logs.make_logger('e1', io.StringIO())
         settings = ports.Settings('e1', 'a', '', '', 'a:1', '', (),
                                   0.1 if small else 1.0, 1_000.0,
@@ -68,7 +68,7 @@
                                      call=self._call)
 
     @property
-    def role(self) -> beliefs.Role:
+    def role(self) -> controlstate.CoordinatorRole:
         """The entry's part in the service."""
         return self.owned.roles[_SERVICE]
 
@@ -218,7 +218,7 @@
         world.silent = False
         world.run(600.0)
         self.assertTrue(done.is_set())
-        self.assertIsNone(world.role.state)
+        self.assertIsNone(world.role.coordination_state)
         world.run(1_000.0)
         self.assertEqual(world.leases, set())
 
@@ -227,7 +227,7 @@
         done = world.leave()
         world.run(50.0)
         self.assertTrue(done.is_set())
-        self.assertIsNone(world.role.state)
+        self.assertIsNone(world.role.coordination_state)
         self.assertEqual(world.leases, set())
 
     def test_a_lease_that_was_being_opened_is_ended_too(self):
@@ -239,11 +239,11 @@
 
     def test_a_role_that_was_being_taken_is_not_begun(self):
         world = World()
-        while not (world.owned.roles and world.role.busy):
+        while not (world.owned.roles and world.role.is_call_pending):
             world.run(_STEP_MS)
         world.leave()
         world.run(3_000.0)
-        self.assertIsNone(world.role.state)
+        self.assertIsNone(world.role.coordination_state)
         self.assertEqual(world.leases, set())
         self.assertEqual(world.granted, {})
 
@@ -253,7 +253,7 @@
         world.silent = True
         began = world.time.at
         world.leave()
-        for renewal in world.role.state.renewals.values():
+        for renewal in world.role.coordination_state.renewals.values():
             renewal.link, renewal.due_at = None, world.time.at
         world.run(1_000.0)
         self.assertEqual([at for at in world.unlinked_at if at > began], [])
@@ -261,10 +261,10 @@
     def test_the_lease_outlasts_grants_over_new_connections(self):
         world = _make_world()
         world.grant_ms = 300.0
-        for renewal in world.role.state.renewals.values():
+        for renewal in world.role.coordination_state.renewals.values():
             renewal.link, renewal.due_at = None, world.time.at
         world.run(2 * _STEP_MS)
-        lease, began = world.owned.lease.id, world.time.at
+        lease, began = world.owned.coordinator_lease.id, world.time.at
         world.leave()
         world.run(1_000.0)
         self.assertGreaterEqual(world.ended_at[lease] - began, 250.0)
@@ -283,11 +283,11 @@
         world.silent, world.deaf, world.era = False, True, 1
         world.run(600.0)
         self.assertEqual(world.ended_at, {})
-        self.assertIsNotNone(world.role.state)
+        self.assertIsNotNone(world.role.coordination_state)
         world.deaf, world.coordinator = False, None
         world.run(100.0)
         self.assertEqual(world.ended_at, {})
-        self.assertIsNone(world.role.state)
+        self.assertIsNone(world.role.coordination_state)
         self.assertTrue(done.is_set())
 
 
@@ -296,7 +296,7 @@
 
     def test_it_goes_on_until_the_store_has_ended_its_lease(self):
         world = _make_world(small=True)
-        self.assertIsNotNone(world.role.state)
+        self.assertIsNotNone(world.role.coordination_state)
         world.peers['e2'] = ports.Peer('e2', 'b:1')
         world.run(_STEP_MS)
         world.silent = True
@@ -305,7 +305,7 @@
         self.assertLess(world.find_longest_gap(began), ownership.HOLD_MS / 2)
         world.silent = False
         world.run(600.0)
-        self.assertIsNone(world.role.state)
+        self.assertIsNone(world.role.coordination_state)
 
 
 if __name__ == '__main__':
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -14,8 +14,8 @@
 from lentilmoor import clocks
 from lentilmoor import httpcalls
 from lentilmoor import logs
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
@@ -41,15 +41,15 @@
         model = edge_hub.HubModel(59, 108, 148)
         model.run(4.0)
         self.assertGreater(len(model.saved.ranges), 108)
-        before = model.owned.pace.steps
+        before = model.owned.timing.steps
         model.run(2.0)
-        self.assertLess(model.owned.pace.steps - before, 2 * 60)
+        self.assertLess(model.owned.timing.steps - before, 2 * 60)
 
     def test_a_line_tells_that_messages_wait(self):
         stream, time_ = io.StringIO(), clocks.ManualTime(10_000.0)
         forwarder = requests.Forwarder(time_.clock(), mock.Mock(),
                                        logs.make_logger('e1', stream), None)
-        actor = control.Control(beliefs.Beliefs('e1'),
+        actor = control.Control(controlstate.ControlState('e1'),
                                 forwarder, forwarder.platform, forwarder.logger,
                                 mock.Mock())
         actor.on_receive(control.Tick(9_800.0))
--- a/tests/test_edge_servers.py
+++ b/tests/test_edge_servers.py
@@ -6,8 +6,8 @@
 
 from lentilmoor import clocks
 from lentilmoor import logs
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import ports
 from lentilmoor.edge import requests
 from lentilmoor.edge import tables
@@ -18,7 +18,7 @@
 
     def setUp(self):
         super().setUp()
-        self.owned = beliefs.Beliefs('e1')
+        self.owned = controlstate.ControlState('e1')
         self.revision = 0
 
     def _see(self, *names: str) -> None:
@@ -49,19 +49,19 @@
         for names in (('i-1', 'i-2'), ('i-2', 'i-1')):
             self.setUp()
             self._see(*names)
-            self.assertEqual(self.owned.ended, set())
+            self.assertEqual(self.owned.ended_servers, set())
 
     def test_one_that_comes_later_ends_the_one_before(self):
         self._see('i-old')
         self._see('i-old', 'i-new')
-        self.assertEqual(self.owned.ended, {'i-old'})
+        self.assertEqual(self.owned.ended_servers, {'i-old'})
 
     def test_one_that_goes_on_writing_is_not_ended_for_good(self):
         self._see('i-up')
         self._see('i-up', 'i-late')
-        self.assertEqual(self.owned.ended, {'i-up'})
+        self.assertEqual(self.owned.ended_servers, {'i-up'})
         self._see('i-up')
-        self.assertEqual(self.owned.ended, set())
+        self.assertEqual(self.owned.ended_servers, set())
 
 
 if __name__ == '__main__':
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -320,15 +320,15 @@
                             clock=forwarder.clock,
                             call=lambda work, take: take(work(), 0.0))
         context.platform.store = self.platform
-        context.owned.suspects_at = 0.0
-        context.owned.lost_at = 0.0
-        context.owned.everything = self.platform.load()
+        context.owned.suspects_due_at = 0.0
+        context.owned.store_lost_at = 0.0
+        context.owned.store_snapshot = self.platform.load()
         return context
 
     def _keep(self) -> ports.StoreSnapshot:
         """Has the entry write what is due, and read it."""
         self.time.advance(savedsuspects.SAVE_AGAIN_MS)
-        self.context.owned.everything = self.platform.load()
+        self.context.owned.store_snapshot = self.platform.load()
         savedsuspects.keep(self.context, self.time.at)
         return self.platform.load()
 
