--- a/benchmarks/edge_spread.py
+++ b/benchmarks/edge_spread.py
@@ -224,26 +224,26 @@
             known[address] = fleet.carry(fleet.hub, address, asked, size)
     _tell_children(fleet, places, known, size)
     reply = _kbps(EMPTY_BYTES, LIMITS.poll_wait_ms)
-    direct = sum(place is None or place.relay for place in places.values())
-    most = max(relays.FANOUT if any(places.values()) else 0,
+    direct = sum(place is None or place.is_relay for place in places.values())
+    most = max(relays.RELAY_FANOUT if any(places.values()) else 0,
                direct * fleet.scene.domains / SHOWN_DOMAINS)
     return known, _make_result(known, _find_hub_calls(fleet), reply * most,
                                reply)
 
 
-def _find_places(fleet: Fleet) -> dict[str, relays.Place | None]:
+def _find_places(fleet: Fleet) -> dict[str, relays.TreePosition | None]:
     """Returns the places of entries of some failure domains: all look alike."""
     entries = {peer.instance: peer for peer in fleet.peers}
     shown = {f'd{number}' for number in range(SHOWN_DOMAINS - 1)}
     shown.add(f'd{fleet.scene.domains - 1}')
     return {
-        peer.address: relays.find_place(peer, entries, {fleet.hub})
+        peer.address: relays.find_position(peer, entries, {fleet.hub})
         for peer in fleet.peers
         if peer.address in fleet.alive and peer.domain in shown
     }
 
 
-def _tell_children(fleet: Fleet, places: dict[str, relays.Place | None],
+def _tell_children(fleet: Fleet, places: dict[str, relays.TreePosition | None],
                    known: dict[str, float], size: float) -> None:
     """Lets the change go from parent to child; lost parents cost a limit."""
     left = {
@@ -265,7 +265,7 @@
             del left[address]
 
 
-def _find_parent(fleet: Fleet, place: relays.Place) -> tuple[int, str]:
+def _find_parent(fleet: Fleet, place: relays.TreePosition) -> tuple[int, str]:
     """Returns how many parents are lost, and the first that isn't."""
     for lost, parent in enumerate(place.parents):
         if parent in fleet.alive:
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -280,7 +280,8 @@
         if owned.store_lost_at and not heard:
             self._logger.info('store_regained',
                               away_ms=round(now - owned.store_lost_at),
-                              revision=revisions.show(everything.revision))
+                              revision=revisions.format_revision(
+                                  everything.revision))
             owned.store_lost_at, owned.store_regained_at = 0.0, now
         before = owned.store_snapshot
         listed = self._leave_out_unconfigured(_keep_newer(before, everything))
@@ -299,7 +300,8 @@
                                           is not configuration):
             self._logger.info('configuration_applied',
                               version=configuration.version,
-                              revision=revisions.show(everything.revision))
+                              revision=revisions.format_revision(
+                                  everything.revision))
             self._forwarder.index = matching.make_index(configuration.routes)
             for name in configuration.list_keyed():
                 owned.roles.setdefault(name, controlstate.CoordinatorRole())
@@ -392,14 +394,15 @@
         if not before:
             self._logger.info('servers_known',
                               servers=len(changed),
-                              revision=revisions.show(everything.revision))
+                              revision=revisions.format_revision(
+                                  everything.revision))
         elif heard and changed:
             self._logger.info(
                 'servers_heard',
                 servers=len(changed),
                 draining=_name_some(item for item in changed if item.draining),
                 ready=_name_some(item for item in changed if not item.draining),
-                revision=revisions.show(everything.revision))
+                revision=revisions.format_revision(everything.revision))
         else:
             for server in changed:
                 self._logger.info('server_seen',
@@ -407,7 +410,8 @@
                                   service=server.service,
                                   address=server.address,
                                   draining=server.draining,
-                                  revision=revisions.show(everything.revision))
+                                  revision=revisions.format_revision(
+                                      everything.revision))
 
     def _leave_out_unconfigured(
             self, found: ports.StoreSnapshot) -> ports.StoreSnapshot:
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -117,8 +117,9 @@
                                saved.revision if saved else 0)
     context.logger.info('coordination_continued',
                         service=name,
-                        revision=revisions.show(everything.revision),
-                        saved_revision=revisions.show(state.revision))
+                        revision=revisions.format_revision(everything.revision),
+                        saved_revision=revisions.format_revision(
+                            state.revision))
 
 
 def _is_succeeded(role: controlstate.CoordinatorRole,
@@ -267,7 +268,7 @@
                             service=name,
                             term=assignment.term,
                             waits=plan.may_lack_moves,
-                            revision=revisions.show(result),
+                            revision=revisions.format_revision(result),
                             ranges=len(assignment.ranges))
         role.load_table.seed_works(assignment.works)
         role.coordination_state = coordination.begin(
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -286,7 +286,8 @@
     }
     calls = entry.platform.store.count_calls()
     gauges |= {f'store_calls_{kind}': float(calls[kind]) for kind in calls}
-    return 200, entry.measures.show(gauges), 'text/plain; version=0.0.4'
+    return 200, entry.measures.format_revision(
+        gauges), 'text/plain; version=0.0.4'
 
 
 def _find_limits(entry: Entry) -> tables.CallerLimits:
--- a/lentilmoor/edge/following.py
+++ b/lentilmoor/edge/following.py
@@ -114,7 +114,7 @@
 
 def _is_leaf(follower: knowledge.Follower) -> bool:
     """Returns whether relays tell this entry, and it isn't one of them."""
-    return follower.place is not None and not follower.place.relay
+    return follower.place is not None and not follower.place.is_relay
 
 
 def _begin(follower: knowledge.Follower, reads: bool = True) -> None:
@@ -168,7 +168,8 @@
             if learned is not None and learned.configuration is not None:
                 follower.logger.info('store_learned',
                                      peer=peer.instance,
-                                     revision=revisions.show(learned.revision))
+                                     revision=revisions.format_revision(
+                                         learned.revision))
                 follower.whole = False
                 knowledge.take(follower, learned, True)
                 return True
@@ -257,8 +258,8 @@
         what=what,
         outcome=found.reason.value if failed else 'done',
         took_ms=round(took_ms),
-        since=revisions.show(seen.revision if seen else 0),
-        revision=revisions.show(0 if failed else found.revision))
+        since=revisions.format_revision(seen.revision if seen else 0),
+        revision=revisions.format_revision(0 if failed else found.revision))
 
 
 def _note_doing(follower: knowledge.Follower, what: str) -> tuple[str, float]:
@@ -330,6 +331,6 @@
     if heard is not None:
         follower.whole = False
         follower.logger.info('store_heard_from_peer',
-                             revision=revisions.show(heard.revision),
+                             revision=revisions.format_revision(heard.revision),
                              whole=whole)
         knowledge.take(follower, heard, True)
--- a/lentilmoor/edge/knowledge.py
+++ b/lentilmoor/edge/knowledge.py
@@ -72,7 +72,7 @@
     logged: int = 0
     hurried: threading.Event = dataclasses.field(
         default_factory=threading.Event)
-    place: relays.Place | None = None
+    place: relays.TreePosition | None = None
     told_at: float = float('-inf')
     probed_at: float = float('-inf')
     probe: Callable[[], object] = lambda: None
@@ -179,7 +179,8 @@
         follower.logger.warning('behind_the_hub',
                                 version=find_version(seen),
                                 hub=heard.version,
-                                revision=revisions.show(seen.revision))
+                                revision=revisions.format_revision(
+                                    seen.revision))
     return True
 
 
@@ -235,8 +236,9 @@
         _note_seen(follower, merged)
         return merged
     follower.logger.info('news_heard',
-                         revision=revisions.show(merged.revision),
-                         news=revisions.show(merged.required_revision),
+                         revision=revisions.format_revision(merged.revision),
+                         news=revisions.format_revision(
+                             merged.required_revision),
                          age_ms=round(follower.clock.now() - heard.seen_at))
     take(follower, merged, True)
     return merged
--- a/lentilmoor/edge/relays.py
+++ b/lentilmoor/edge/relays.py
@@ -15,15 +15,15 @@
 from lentilmoor.edge import ports
 
 # Entries that one tells. Each asks a few times a second.
-FANOUT = 16
+RELAY_FANOUT = 16
 # Entries of a failure domain that the hub tells itself.
-DOMAIN_RELAYS = 3
+RELAYS_PER_DOMAIN = 3
 # Up to so many entries the hub tells all, in its replies to their reports.
-DIRECT = 31
+MAX_DIRECT_ENTRIES = 31
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Place:
+class TreePosition:
     """An entry's place in the tree.
 
     Attributes:
@@ -31,12 +31,12 @@
       parents: Addresses of those that may tell it, its own parent first.
     """
 
-    relay: bool
+    is_relay: bool
     parents: tuple[str, ...]
 
 
-def find_place(own: ports.Peer, entries: Mapping[str, ports.Peer],
-               hubs: Collection[str]) -> Place | None:
+def find_position(own: ports.Peer, entries: Mapping[str, ports.Peer],
+                  hubs: Collection[str]) -> TreePosition | None:
     """Returns an entry's place in the tree.
 
     Args:
@@ -50,7 +50,7 @@
     if own.address in hubs or not hubs:
         return None
     addresses = {peer.address for peer in entries.values()}
-    if len(addresses) <= DIRECT:
+    if len(addresses) <= MAX_DIRECT_ENTRIES:
         return None
     ranked = rank(own, entries.values(), hubs)
     position = ranked.index(own.address)
@@ -58,13 +58,13 @@
     others = [item for item in ranked[:relays] if item != own.address]
     roots = sorted(hubs)
     if position < relays:
-        return Place(True, (*roots, *others))
-    parent = ranked[(position - relays) // FANOUT]
+        return TreePosition(True, (*roots, *others))
+    parent = ranked[(position - relays) // RELAY_FANOUT]
     # Each goes through the others in another order, so that those of a lost
     # relay are shared out.
     turn = position % len(others)
     others = [item for item in others[turn:] + others[:turn] if item != parent]
-    return Place(False, (parent, *others, *roots))
+    return TreePosition(False, (parent, *others, *roots))
 
 
 def rank(own: ports.Peer, entries: Iterable[ports.Peer],
@@ -84,4 +84,4 @@
 
 def count_relays(entries: int) -> int:
     """Returns how many of a failure domain's entries the hub tells itself."""
-    return min(DOMAIN_RELAYS, -(-entries // (FANOUT + 1)))
+    return min(RELAYS_PER_DOMAIN, -(-entries // (RELAY_FANOUT + 1)))
--- a/lentilmoor/edge/revisions.py
+++ b/lentilmoor/edge/revisions.py
@@ -10,7 +10,7 @@
 _NUMBER_BITS = 40
 _NUMBER_MASK = (1 << _NUMBER_BITS) - 1
 # Revisions fit a signed integer of 64 bits.
-MOST_ERA = (1 << 63 - _NUMBER_BITS) - 1
+MAX_ERA = (1 << 63 - _NUMBER_BITS) - 1
 
 
 def combine(era: int, number: int) -> int:
@@ -28,7 +28,7 @@
     return revision >> _NUMBER_BITS
 
 
-def show(revision: int) -> str:
+def format_revision(revision: int) -> str:
     """Returns a revision for logs, as ERA.NUMBER."""
     return f'{find_era(revision)}.{find_number(revision)}'
 
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -192,7 +192,7 @@
         coordination.note_saved(state, save, result)
         context.logger.info('assignment_saved',
                             service=save.service,
-                            revision=revisions.show(result),
+                            revision=revisions.format_revision(result),
                             ranges=len(save.assignment.ranges))
         context.publish()
         return
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -141,19 +141,20 @@
         follower.learning.release()
 
 
-def choose(place: relays.Place, avoided: dict[str, float], now: float) -> str:
+def choose(place: relays.TreePosition, avoided: dict[str, float],
+           now: float) -> str:
     """Returns whom to ask: the first that isn't avoided, or was so longest."""
     return min(place.parents,
                key=lambda address: max(0.0,
                                        avoided.get(address, 0.0) - now))
 
 
-def find_place(follower: knowledge.Follower) -> relays.Place | None:
+def find_place(follower: knowledge.Follower) -> relays.TreePosition | None:
     """Returns an entry's place among the relays; None if the hub tells it."""
     reporter = follower.reporter
     hubs = {peer.address for peer in reporting.find_hubs(reporter)}
-    return relays.find_place(follower.own, reporter.forwarder.snapshot.entries,
-                             hubs)
+    return relays.find_position(follower.own,
+                                reporter.forwarder.snapshot.entries, hubs)
 
 
 def _ask(follower: knowledge.Follower,
@@ -226,7 +227,7 @@
     if seen is None:
         return None
     store, settings = forwarder.platform.store, forwarder.platform.settings
-    room = reporting.find_room(settings.link_mbps, relays.FANOUT)
+    room = reporting.find_room(settings.link_mbps, relays.RELAY_FANOUT)
     return reports.NewsReply(
         revision=seen.revision,
         since=asked.revision,
--- a/lentilmoor/platform/store.py
+++ b/lentilmoor/platform/store.py
@@ -155,7 +155,7 @@
         text = reply.headers.get(_ERA_HEADER)
         if text is None:
             return self.era or 0
-        if not text.isdecimal() or int(text) > revisions.MOST_ERA:
+        if not text.isdecimal() or int(text) > revisions.MAX_ERA:
             return None
         self._note_era(int(text))
         return int(text)
@@ -372,8 +372,8 @@
         known = view.find_revision()
         if found.revision < known:
             logger.warning('store_behind',
-                           revision=revisions.show(found.revision),
-                           known=revisions.show(known))
+                           revision=revisions.format_revision(found.revision),
+                           known=revisions.format_revision(known))
         return view.replace(found.items, found.revision)
 
     def load_configuration() -> ports.StoreSnapshot | outcomes.Failed:
--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -351,7 +351,8 @@
         found = documents.parse_configuration(item.value)
         if isinstance(found, str):
             self._logger.error('configuration_refused',
-                               revision=revisions.show(item.revision),
+                               revision=revisions.format_revision(
+                                   item.revision),
                                reason=found)
             return before
         if before is not None and found.version < before.version:
@@ -376,7 +377,8 @@
         except ValueError as error:
             self._logger.error('entry_refused',
                                key=item.key,
-                               revision=revisions.show(item.revision),
+                               revision=revisions.format_revision(
+                                   item.revision),
                                reason=str(error))
 
     def _put_server(self, servers: dict[str, tables.Server],
@@ -434,7 +436,7 @@
     def _refuse_server(self, name: str, item: Item, reason: str) -> None:
         self._logger.error('server_entry_refused',
                            server=name,
-                           revision=revisions.show(item.revision),
+                           revision=revisions.format_revision(item.revision),
                            reason=reason)
 
 
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -277,9 +277,9 @@
     def find_relay(self) -> Member:
         """Returns an entry that tells others of its domain."""
         hub = self.find_hub()
-        return next(member for member in self.members
-                    if member.follower.place and member.follower.place.relay and
-                    member.domain != hub.domain)
+        return next(
+            member for member in self.members if member.follower.place and
+            member.follower.place.is_relay and member.domain != hub.domain)
 
     def change(self) -> float:
         """Has a server leave and adds a route; returns when that was acked."""
--- a/tests/test_edge_staleness.py
+++ b/tests/test_edge_staleness.py
@@ -100,7 +100,7 @@
       small_room: Whether the configuration is too large to tell.
     """
     with contextlib.ExitStack() as stack:
-        stack.enter_context(mock.patch.object(relays, 'DIRECT', 3))
+        stack.enter_context(mock.patch.object(relays, 'MAX_DIRECT_ENTRIES', 3))
         if small_room:
             stack.enter_context(
                 mock.patch('lentilmoor.edge.reporting.find_room',
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -42,7 +42,7 @@
 
     def _place_all(self, fleet, hubs=(_HUB,)):
         return {
-            peer.address: relays.find_place(peer, fleet, set(hubs))
+            peer.address: relays.find_position(peer, fleet, set(hubs))
             for peer in fleet.values()
         }
 
@@ -55,7 +55,7 @@
             with self.subTest(domains * per_domain):
                 fleet = _make_fleet(domains, per_domain)
                 sample = self._place_all(fleet) if domains == 5 else {
-                    peer.address: relays.find_place(peer, fleet, {_HUB})
+                    peer.address: relays.find_position(peer, fleet, {_HUB})
                     for peer in fleet.values()
                     if peer.domain in ('d0', 'd7')
                 }
@@ -70,16 +70,16 @@
                     while parent != _HUB:
                         steps, parent = steps + 1, sample[parent].parents[0]
                     self.assertLessEqual(steps, most_steps)
-                    self.assertEqual(place.relay, steps == 1)
+                    self.assertEqual(place.is_relay, steps == 1)
                 self.assertLessEqual(told.pop(_HUB),
-                                     domains * relays.DOMAIN_RELAYS)
-                self.assertLessEqual(max(told.values()), relays.FANOUT)
+                                     domains * relays.RELAYS_PER_DOMAIN)
+                self.assertLessEqual(max(told.values()), relays.RELAY_FANOUT)
 
     def test_large_machines_are_relays_of_their_own_failure_domain(self):
         fleet = _make_fleet(5, 39)
         by_address = {peer.address: peer for peer in fleet.values()}
         for address, place in self._place_all(fleet).items():
-            if place is None or place.relay:
+            if place is None or place.is_relay:
                 continue
             parent = by_address[place.parents[0]]
             if parent.domain != 'd0':  # One of its large ones is the hub.
@@ -99,12 +99,12 @@
         seconds = [
             place.parents[1]
             for place in self._place_all(fleet).values()
-            if place and not place.relay and place.parents[0] == lost
+            if place and not place.is_relay and place.parents[0] == lost
         ]
         self.assertEqual(len(set(seconds)), 2)
 
     def test_who_is_avoided_is_asked_last(self):
-        place = relays.Place(False, ('a', 'b', 'c'))
+        place = relays.TreePosition(False, ('a', 'b', 'c'))
         self.assertEqual(subscriptions.choose(place, {}, 100.0), 'a')
         self.assertEqual(subscriptions.choose(place, {'a': 200.0}, 100.0), 'b')
         self.assertEqual(subscriptions.choose(place, {'a': 90.0}, 100.0), 'a')
@@ -172,7 +172,7 @@
 
     def _listen(self, follower, *parents):
         """Has an entry ask others for news until the test ends."""
-        follower.place = relays.Place(False, parents)
+        follower.place = relays.TreePosition(False, parents)
         avoided: dict[str, float] = {}
 
         def listen():
@@ -278,7 +278,7 @@
 
     def _find_pause(self, relay, heard_ms, told_ms=0.0):
         now = self.time.at
-        self.follower.place = relays.Place(relay, ('b:1',))
+        self.follower.place = relays.TreePosition(relay, ('b:1',))
         self.follower.told_at = now - told_ms
         self.forwarder.heard = tables.News(1, now - heard_ms)
         self.forwarder.freshness = staleness.Freshness(
@@ -388,7 +388,7 @@
             reporting.Reporter('e1', forwarder, mock.Mock(), mock.Mock()),
             store.connect_store(standin.address, clock, logger), clock, logger,
             mock.Mock(), mock.Mock())
-        follower.place = relays.Place(False, ('b:1',))
+        follower.place = relays.TreePosition(False, ('b:1',))
         self.addCleanup(setattr, follower, 'begun', 9)
         following.follow_again(follower)
         platformhelp.wait_until(lambda: follower.doing[0] == 'wait', 3.0)
