--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -24,7 +24,6 @@
 from lentilmoor.edge import exchange
 from lentilmoor.edge import following
 from lentilmoor.edge import forwarding
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import listening
 from lentilmoor.edge import measures
 from lentilmoor.edge import permits
@@ -33,6 +32,7 @@
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import subscriptions
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
@@ -44,7 +44,7 @@
 # doesn't take it holds a thread, and must not keep the hub's news from all
 # others. A report is given up by who sent it after some 1 s. Requests for news
 # wait in these threads too.
-PEER_THREADS = (8, 16 + knowledge.MOST_HELD)
+PEER_THREADS = (8, 16 + storecopy.MAX_WAITING_REQUESTS)
 REPLY_WRITE_MS = 1_000.0
 # Kept open to another entry: one for reports, one for news.
 PEER_CONNECTIONS = 2
@@ -91,7 +91,7 @@
     reporter: reporting.Reporter | None = None
     listeners: list[listening.Listener] = dataclasses.field(
         default_factory=list)
-    follower: knowledge.Follower | None = None
+    follower: storecopy.StoreFollower | None = None
     pace: controlstate.ActorTiming | None = None
     hurry: threading.Event = dataclasses.field(default_factory=threading.Event)
 
@@ -176,14 +176,15 @@
         instance, forwarder,
         httpcalls.Caller(clock, PEER_CONNECTIONS, socket_options),
         entry.actor.tell)
-    entry.follower = knowledge.Follower(
+    entry.follower = storecopy.StoreFollower(
         ports.make_peer(instance, platform.settings), entry.reporter,
         platform.store, clock, logger, functools.partial(_take_store, entry),
         lambda reason: entry.actor.tell(control.StoreLost(reason)))
     entry.follower.probe = lambda: entry.actor.tell(control.Probe())
     platform.store.on_restore(
         functools.partial(following.read_anew, entry.follower))
-    entry.reporter.hear = functools.partial(knowledge.take_news, entry.follower)
+    entry.reporter.hear = functools.partial(storecopy.apply_news,
+                                            entry.follower)
     log_error = listening.make_error_log(logger)
     callers = listening.make_listener(
         platform.settings.callers,
@@ -255,7 +256,7 @@
         'unserved_ranges':
             float(sum(len(rows) for rows in entry.forwarder.unserved.values())),
         'store_watches':
-            float(entry.follower.begun),
+            float(entry.follower.start_count),
         'store_era':
             float(entry.platform.store.find_era()),
         'news_age_ms':
@@ -286,8 +287,7 @@
     }
     calls = entry.platform.store.count_calls()
     gauges |= {f'store_calls_{kind}': float(calls[kind]) for kind in calls}
-    return 200, entry.measures.format_revision(
-        gauges), 'text/plain; version=0.0.4'
+    return 200, entry.measures.show(gauges), 'text/plain; version=0.0.4'
 
 
 def _find_limits(entry: Entry) -> tables.CallerLimits:
--- a/lentilmoor/edge/following.py
+++ b/lentilmoor/edge/following.py
@@ -10,11 +10,11 @@
 
 from lentilmoor import clocks
 from lentilmoor import outcomes
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import revisions
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 
 # Pause before a store that can't be reached is tried again.
@@ -49,7 +49,7 @@
 HUNG_MS = 250.0
 
 
-def follow_again(follower: knowledge.Follower) -> None:
+def follow_again(follower: storecopy.StoreFollower) -> None:
     """Begins to follow the store; an earlier watch is left to itself.
 
     Not if the store or the hub told something a moment ago, as whole reads fill
@@ -59,44 +59,44 @@
     hangs = _hangs(follower)
     silence_ms = _find_silence(follower, counts_relays=not hangs)
     limits = follower.reporter.forwarder.limits
-    if not follower.begun or silence_ms >= limits.refresh_age_ms:
+    if not follower.start_count or silence_ms >= limits.refresh_age_ms:
         _begin(follower)
     elif hangs:
         _begin(follower, reads=False)
 
 
-def read_anew(follower: knowledge.Follower) -> None:
+def read_anew(follower: storecopy.StoreFollower) -> None:
     """Begins with a whole read, as the store was restored."""
-    follower.whole = True
+    follower.needs_full_read = True
     _begin(follower)
 
 
-def _hangs(follower: knowledge.Follower) -> bool:
+def _hangs(follower: storecopy.StoreFollower) -> bool:
     """Returns whether a watch may have been sent to a silent store."""
-    what, since = follower.doing
+    what, since = follower.activity
     return what == 'watch' and follower.clock.now() - since >= HUNG_MS
 
 
-def check(follower: knowledge.Follower) -> None:
+def check(follower: storecopy.StoreFollower) -> None:
     """Begins to follow anew if nobody has told anything for too long.
 
     A call may hang while the entry's leases are kept.
     """
     now = follower.clock.now()
     silence_ms = min(_find_silence(follower, counts_relays=True),
-                     now - follower.began_at)
+                     now - follower.started_at)
     if silence_ms < follower.reporter.forwarder.limits.silence_timeout_ms:
         return
-    what, since = follower.doing
+    what, since = follower.activity
     follower.logger.warning('following_silent',
                             silence_ms=round(silence_ms),
                             doing=what,
                             doing_ms=round(now - since),
-                            whole=follower.whole)
+                            whole=follower.needs_full_read)
     _begin(follower)
 
 
-def _find_silence(follower: knowledge.Follower, *,
+def _find_silence(follower: storecopy.StoreFollower, *,
                   counts_relays: bool) -> float:
     """Returns how long ago the store, the hub or a relay told something, ms.
 
@@ -108,24 +108,24 @@
     forwarder = follower.reporter.forwarder
     told_at = max(forwarder.news.seen_at, forwarder.heard.seen_at)
     if _is_leaf(follower) and counts_relays:
-        told_at = max(told_at, follower.told_at)
+        told_at = max(told_at, follower.relay_answered_at)
     return follower.clock.now() - told_at
 
 
-def _is_leaf(follower: knowledge.Follower) -> bool:
+def _is_leaf(follower: storecopy.StoreFollower) -> bool:
     """Returns whether relays tell this entry, and it isn't one of them."""
-    return follower.place is not None and not follower.place.is_relay
+    return follower.position is not None and not follower.position.is_relay
 
 
-def _begin(follower: knowledge.Follower, reads: bool = True) -> None:
-    follower.begun += 1
-    follower.began_at = follower.clock.now()
+def _begin(follower: storecopy.StoreFollower, reads: bool = True) -> None:
+    follower.start_count += 1
+    follower.started_at = follower.clock.now()
     threading.Thread(target=follow,
-                     args=(follower, follower.begun, reads),
+                     args=(follower, follower.start_count, reads),
                      daemon=True).start()
 
 
-def follow(follower: knowledge.Follower,
+def follow(follower: storecopy.StoreFollower,
            number: int,
            reads: bool = True) -> None:
     """Follows the store until following was begun anew.
@@ -135,20 +135,20 @@
       number: Which beginning this is.
       reads: Whether to read the store at once, not when it is time to.
     """
-    known = not reads or (follower.seen is None and follower.own.small and
-                          _learn(follower))
-    while number == follower.begun:
+    known = not reads or (follower.store_snapshot is None and
+                          follower.own.small and _learn(follower))
+    while number == follower.start_count:
         # Relays and the hub try a store again that didn't answer; the others,
         # of which there may be many, leave that to them.
         if (not known and not read(follower, number) and
-            (follower.whole or not _is_leaf(follower))):
+            (follower.needs_full_read or not _is_leaf(follower))):
             continue
         known = False
         _note_doing(follower, 'wait')
         _await_look(follower, number)
 
 
-def _learn(follower: knowledge.Follower) -> bool:
+def _learn(follower: storecopy.StoreFollower) -> bool:
     """Learns from an entry on a larger machine what the store holds.
 
     So a start costs the store a call or two, and a slow link a part of the
@@ -170,14 +170,14 @@
                                      peer=peer.instance,
                                      revision=revisions.format_revision(
                                          learned.revision))
-                follower.whole = False
-                knowledge.take(follower, learned, True)
+                follower.needs_full_read = False
+                storecopy.apply_snapshot(follower, learned, True)
                 return True
         clocks.pause(LEARN_PAUSE_MS)
     return False
 
 
-def _choose_larger(follower: knowledge.Follower,
+def _choose_larger(follower: storecopy.StoreFollower,
                    found: list[ports.Peer]) -> list[ports.Peer]:
     """Returns some entries on larger machines, near ones first."""
     generator = follower.reporter.forwarder.generator
@@ -190,11 +190,11 @@
     return larger[:LEARN_PEERS]
 
 
-def read(follower: knowledge.Follower, number: int) -> bool:
+def read(follower: storecopy.StoreFollower, number: int) -> bool:
     """Reads the store; returns whether what it holds was taken in."""
-    seen, store = follower.seen, follower.store
+    seen, store = follower.store_snapshot, follower.store
     what = _find_read(follower)
-    newest = seen is not None and knowledge.is_newest(follower)
+    newest = seen is not None and storecopy.is_configuration_newest(follower)
     doing = _note_doing(follower, what)
     _, asked_at = doing
     if what == 'load':
@@ -204,24 +204,24 @@
     else:
         found = store.watch(seen)
     _note_read(follower, doing, seen, found)
-    if number != follower.begun:
+    if number != follower.start_count:
         return False
     if isinstance(found, outcomes.Failed):
         _follow_loss(follower, found)
         return False
     if what == 'load':
-        follower.whole = False
-    if not follower.whole:
-        follower.hurried.clear()
+        follower.needs_full_read = False
+    if not follower.needs_full_read:
+        follower.read_now.clear()
     forwarder = follower.reporter.forwarder
     if what != 'configuration':
         forwarder.news = tables.News(found.revision, asked_at)
-    knowledge.take(follower, found, False)
-    behind = knowledge.is_behind(follower)
+    storecopy.apply_snapshot(follower, found, False)
+    behind = storecopy.is_configuration_behind(follower)
     if what == 'load' or what == 'watch' and newest:
-        knowledge.note_newest(follower, found.revision)
+        storecopy.record_newest_configuration(follower, found.revision)
     elif what == 'configuration' and not behind:
-        knowledge.note_newest(follower, seen.revision)
+        storecopy.record_newest_configuration(follower, seen.revision)
     # When the store answered isn't known, only that it was after it was asked.
     staleness.record_known_times(
         forwarder.freshness,
@@ -234,19 +234,21 @@
     return True
 
 
-def _find_read(follower: knowledge.Follower) -> str:
+def _find_read(follower: storecopy.StoreFollower) -> str:
     """Returns what to read of the store next."""
-    if follower.seen is None or follower.whole:
+    if follower.store_snapshot is None or follower.needs_full_read:
         return 'load'
-    return 'watch' if knowledge.is_newest(follower) else 'configuration'
+    return 'watch' if storecopy.is_configuration_newest(
+        follower) else 'configuration'
 
 
-def _note_read(follower: knowledge.Follower, doing: tuple[str, float],
+def _note_read(follower: storecopy.StoreFollower, doing: tuple[str, float],
                seen: ports.StoreSnapshot | None,
                found: ports.StoreSnapshot | outcomes.Failed) -> None:
     """Tells of a read of the store that failed or was slow.
 
-    Another thread may follow by now: `follower.doing` is what that one is at.
+    Another thread may follow by now: `follower.activity` is what that one is
+    at.
     """
     what, since = doing
     took_ms = follower.clock.now() - since
@@ -262,29 +264,30 @@
         revision=revisions.format_revision(0 if failed else found.revision))
 
 
-def _note_doing(follower: knowledge.Follower, what: str) -> tuple[str, float]:
-    doing = follower.doing = (what, follower.clock.now())
+def _note_doing(follower: storecopy.StoreFollower,
+                what: str) -> tuple[str, float]:
+    doing = follower.activity = (what, follower.clock.now())
     return doing
 
 
-def _await_look(follower: knowledge.Follower, number: int) -> None:
+def _await_look(follower: storecopy.StoreFollower, number: int) -> None:
     """Waits until it is time to look at the store."""
     began = follower.clock.now()
-    while number == follower.begun:
-        if follower.hurried.wait(NEWS_LOOK_MS / clocks.MS_PER_S):
-            follower.hurried.clear()
+    while number == follower.start_count:
+        if follower.read_now.wait(NEWS_LOOK_MS / clocks.MS_PER_S):
+            follower.read_now.clear()
             return
         now = follower.clock.now()
         if now - began >= find_pause(follower):
             return
-        if knowledge.is_behind(
-                follower) and now - follower.wanted_at >= BEHIND_MS:
+        if storecopy.is_configuration_behind(
+                follower) and now - follower.peer_version_at >= BEHIND_MS:
             return
 
 
-def find_pause(follower: knowledge.Follower) -> float:
+def find_pause(follower: storecopy.StoreFollower) -> float:
     """Returns the pause until the store is to be looked at again, ms."""
-    forwarder, place = follower.reporter.forwarder, follower.place
+    forwarder, place = follower.reporter.forwarder, follower.position
     limits = forwarder.limits
     heard_ms = follower.clock.now() - min(
         forwarder.heard.seen_at,
@@ -312,25 +315,26 @@
         for name in snapshot.configuration.list_keyed())
 
 
-def _follow_loss(follower: knowledge.Follower, failed: outcomes.Failed) -> None:
+def _follow_loss(follower: storecopy.StoreFollower,
+                 failed: outcomes.Failed) -> None:
     """Takes in that a call to the store failed, and asks another entry."""
     if failed.reason is outcomes.Reason.NOT_FOUND:
-        follower.whole = True
+        follower.needs_full_read = True
         return
-    follower.lose(failed.reason)
+    follower.report_store_lost(failed.reason)
     # What has changed since is asked for by `subscriptions.seek`.
-    if follower.whole or knowledge.is_behind(follower):
+    if follower.needs_full_read or storecopy.is_configuration_behind(follower):
         _note_doing(follower, 'ask')
         _ask_others(follower, True)
     clocks.pause(STORE_AGAIN_MS)
 
 
-def _ask_others(follower: knowledge.Follower, whole: bool) -> None:
+def _ask_others(follower: storecopy.StoreFollower, whole: bool) -> None:
     """Asks another entry what the store holds."""
     heard = reporting.ask_peers(follower.reporter, whole)
     if heard is not None:
-        follower.whole = False
+        follower.needs_full_read = False
         follower.logger.info('store_heard_from_peer',
                              revision=revisions.format_revision(heard.revision),
                              whole=whole)
-        knowledge.take(follower, heard, True)
+        storecopy.apply_snapshot(follower, heard, True)
--- a/lentilmoor/edge/knowledge.py
+++ b/lentilmoor/edge/storecopy.py
@@ -16,13 +16,13 @@
 from lentilmoor.edge import tables
 
 # Requests for news that wait for a change at a time; more are answered at once.
-MOST_HELD = 24
+MAX_WAITING_REQUESTS = 24
 # Questions to others at random that are under way at a time.
-MOST_SOUGHT = 9
+MAX_RANDOM_REQUESTS = 9
 
 
 @dataclasses.dataclass(slots=True)
-class Follower:
+class StoreFollower:
     """What following the store needs.
 
     Attributes:
@@ -60,32 +60,33 @@
     store: ports.Store
     clock: clocks.Clock
     logger: logs.Logger
-    take: Callable[[ports.StoreSnapshot, bool], None]
-    lose: Callable[[outcomes.Reason], None]
-    begun: int = 0
-    seen: ports.StoreSnapshot | None = None
-    began_at: float = float('-inf')
-    doing: tuple[str, float] = ('', 0.0)
-    whole: bool = True
-    wanted: int = 0
-    wanted_at: float = float('-inf')
-    logged: int = 0
-    hurried: threading.Event = dataclasses.field(
+    apply: Callable[[ports.StoreSnapshot, bool], None]
+    report_store_lost: Callable[[outcomes.Reason], None]
+    start_count: int = 0
+    store_snapshot: ports.StoreSnapshot | None = None
+    started_at: float = float('-inf')
+    activity: tuple[str, float] = ('', 0.0)
+    needs_full_read: bool = True
+    peer_version: int = 0
+    peer_version_at: float = float('-inf')
+    logged_version: int = 0
+    read_now: threading.Event = dataclasses.field(
         default_factory=threading.Event)
-    place: relays.TreePosition | None = None
-    told_at: float = float('-inf')
+    position: relays.TreePosition | None = None
+    relay_answered_at: float = float('-inf')
     probed_at: float = float('-inf')
     probe: Callable[[], object] = lambda: None
-    learning: threading.Lock = dataclasses.field(default_factory=threading.Lock)
-    sought_at: float = float('-inf')
-    outdated: bool = False
-    seeking: threading.Semaphore = dataclasses.field(
-        default_factory=lambda: threading.Semaphore(MOST_SOUGHT))
+    state_request_lock: threading.Lock = dataclasses.field(
+        default_factory=threading.Lock)
+    peers_asked_at: float = float('-inf')
+    is_stale: bool = False
+    random_request_slots: threading.Semaphore = dataclasses.field(
+        default_factory=lambda: threading.Semaphore(MAX_RANDOM_REQUESTS))
     lock: threading.RLock = dataclasses.field(default_factory=threading.RLock)
     changed: threading.Condition = dataclasses.field(
         default_factory=threading.Condition)
-    held: threading.Semaphore = dataclasses.field(
-        default_factory=lambda: threading.Semaphore(MOST_HELD))
+    wait_slots: threading.Semaphore = dataclasses.field(
+        default_factory=lambda: threading.Semaphore(MAX_WAITING_REQUESTS))
 
 
 def find_version(seen: ports.StoreSnapshot) -> int:
@@ -93,13 +94,14 @@
     return seen.configuration.version if seen.configuration else 0
 
 
-def is_behind(follower: Follower) -> bool:
+def is_configuration_behind(follower: StoreFollower) -> bool:
     """Returns whether others have a newer configuration in force."""
-    return (follower.seen is not None and
-            find_version(follower.seen) < follower.wanted)
+    return (follower.store_snapshot is not None and
+            find_version(follower.store_snapshot) < follower.peer_version)
 
 
-def take(follower: Follower, found: ports.StoreSnapshot, heard: bool) -> None:
+def apply_snapshot(follower: StoreFollower, found: ports.StoreSnapshot,
+                   heard: bool) -> None:
     """Takes in what is known now, unless more is known already.
 
     Args:
@@ -108,43 +110,44 @@
       heard: Whether another entry told it.
     """
     with follower.lock:
-        seen = follower.seen
+        seen = follower.store_snapshot
         if seen is not None and (found.revision,
                                  find_version(found)) < (seen.revision,
                                                          find_version(seen)):
             return
         _note_seen(follower, found)
-        follower.take(found, heard)
+        follower.apply(found, heard)
     with follower.changed:
         follower.changed.notify_all()
 
 
-def await_change(follower: Follower, revision: int, hold_ms: float) -> None:
+def wait_for_change(follower: StoreFollower, revision: int,
+                    hold_ms: float) -> None:
     """Waits for a change since a revision, unless many do so already."""
-    if not follower.held.acquire(blocking=False):
+    if not follower.wait_slots.acquire(blocking=False):
         return
     until = follower.clock.now() + hold_ms
     try:
         with follower.changed:
-            while (follower.seen is None or
-                   follower.seen.required_revision <= revision):
+            while (follower.store_snapshot is None or
+                   follower.store_snapshot.required_revision <= revision):
                 left_ms = until - follower.clock.now()
                 if left_ms <= 0:
                     return
                 follower.changed.wait(left_ms / clocks.MS_PER_S)
     finally:
-        follower.held.release()
+        follower.wait_slots.release()
 
 
-def _note_seen(follower: Follower, found: ports.StoreSnapshot) -> None:
-    follower.seen = found
+def _note_seen(follower: StoreFollower, found: ports.StoreSnapshot) -> None:
+    follower.store_snapshot = found
     forwarder = follower.reporter.forwarder
     forwarder.followed = found.revision
     forwarder.version = find_version(found)
-    forwarder.newest_version = max(forwarder.version, follower.wanted)
+    forwarder.newest_version = max(forwarder.version, follower.peer_version)
 
 
-def take_news(follower: Follower, heard: tables.News) -> bool:
+def apply_news(follower: StoreFollower, heard: tables.News) -> bool:
     """Takes in what another told; looks at the store if that can't be used.
 
     It never waits for a watch that is under way.
@@ -153,29 +156,30 @@
       Whether it could be used.
     """
     with follower.lock:
-        seen = follower.seen
+        seen = follower.store_snapshot
         if seen is None:
             return False
-        if heard.version > max(find_version(seen), follower.wanted):
+        if heard.version > max(find_version(seen), follower.peer_version):
             # Known before the revision is, or the configuration would count as
             # the newest of that revision.
-            follower.wanted = heard.version
-            follower.wanted_at = follower.clock.now()
+            follower.peer_version = heard.version
+            follower.peer_version_at = follower.clock.now()
             follower.reporter.forwarder.newest_version = heard.version
-        behind = is_behind(follower)
+        behind = is_configuration_behind(follower)
         if (heard.revision > seen.revision or
                 heard.version > find_version(seen) and heard.changes):
             seen = merge_news(follower, seen, heard)
             if seen is None:
-                follower.hurried.set()
+                follower.read_now.set()
                 return False
     forwarder = follower.reporter.forwarder
     forwarder.heard = max(forwarder.heard, heard, key=lambda item: item.seen_at)
     _note_times(follower, seen, heard)
     # One that is too large to tell is read: by a watch each of the versions
     # since would come.
-    if behind and is_behind(follower) and follower.logged < heard.version:
-        follower.logged = heard.version
+    if behind and is_configuration_behind(
+            follower) and follower.logged_version < heard.version:
+        follower.logged_version = heard.version
         follower.logger.warning('behind_the_hub',
                                 version=find_version(seen),
                                 hub=heard.version,
@@ -184,7 +188,7 @@
     return True
 
 
-def _note_times(follower: Follower, seen: ports.StoreSnapshot,
+def _note_times(follower: StoreFollower, seen: ports.StoreSnapshot,
                 heard: tables.News) -> None:
     """Notes up to when what is known is complete, as another told.
 
@@ -192,34 +196,34 @@
     """
     if revisions.find_era(heard.revision) < revisions.find_era(seen.revision):
         return
-    newest = find_version(seen) >= max(heard.version, follower.wanted)
+    newest = find_version(seen) >= max(heard.version, follower.peer_version)
     forwarder = follower.reporter.forwarder
     if newest:
-        note_newest(follower, heard.configuration_revision)
+        record_newest_configuration(follower, heard.configuration_revision)
     staleness.record_known_times(
         forwarder.freshness,
         heard.seen_at,
         configuration_at=heard.configuration_at if newest else -math.inf)
 
 
-def note_newest(follower: Follower, revision: int) -> None:
+def record_newest_configuration(follower: StoreFollower, revision: int) -> None:
     """Notes that no configuration is newer up to a revision of the store."""
     forwarder = follower.reporter.forwarder
     forwarder.configuration_revision = max(forwarder.configuration_revision,
                                            revision)
 
 
-def is_newest(follower: Follower) -> bool:
+def is_configuration_newest(follower: StoreFollower) -> bool:
     """Returns whether no configuration is newer up to what is known.
 
     What another entry tells may leave it out.
     """
-    return (not is_behind(follower) and
+    return (not is_configuration_behind(follower) and
             follower.reporter.forwarder.configuration_revision
-            >= follower.seen.revision)
+            >= follower.store_snapshot.revision)
 
 
-def merge_news(follower: Follower, seen: ports.StoreSnapshot,
+def merge_news(follower: StoreFollower, seen: ports.StoreSnapshot,
                heard: tables.News) -> ports.StoreSnapshot | None:
     """Returns what is known with the hub's news; None if it can't be used.
 
@@ -240,5 +244,5 @@
                          news=revisions.format_revision(
                              merged.required_revision),
                          age_ms=round(follower.clock.now() - heard.seen_at))
-    take(follower, merged, True)
+    apply_snapshot(follower, merged, True)
     return merged
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -14,12 +14,12 @@
 from lentilmoor import clocks
 from lentilmoor import httpcalls
 from lentilmoor import outcomes
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import relays
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 
 PATH = '/news'
@@ -30,15 +30,16 @@
 SEEK_PEERS = 3
 
 
-def listen(follower: knowledge.Follower) -> None:
+def listen(follower: storecopy.StoreFollower) -> None:
     """Asks for news for as long as the process lives."""
     avoided: dict[str, float] = {}
     while True:
-        follower.place = find_place(follower)
+        follower.position = find_place(follower)
         clocks.pause(exchange(follower, avoided))
 
 
-def exchange(follower: knowledge.Follower, avoided: dict[str, float]) -> float:
+def exchange(follower: storecopy.StoreFollower, avoided: dict[str,
+                                                              float]) -> float:
     """Asks once for news, if there is somebody to ask.
 
     Args:
@@ -49,15 +50,15 @@
       The pause until the next time, ms.
     """
     limits = follower.reporter.forwarder.limits
-    if follower.place is None or follower.seen is None:
+    if follower.position is None or follower.store_snapshot is None:
         return limits.poll_wait_ms
     began = follower.clock.now()
-    address = choose(follower.place, avoided, began)
+    address = choose(follower.position, avoided, began)
     heard = _ask(follower, address, True)
     now = follower.clock.now()
     if heard is not None:
-        follower.told_at = now
-        knowledge.take_news(follower, heard)
+        follower.relay_answered_at = now
+        storecopy.apply_news(follower, heard)
     # One that doesn't answer or knows nothing recent keeps this entry from
     # asking others.
     if heard is None or began - heard.seen_at > limits.refresh_age_ms:
@@ -67,18 +68,19 @@
     return max(PAUSE_MS, limits.poll_wait_ms - (now - began))
 
 
-def seek(follower: knowledge.Follower) -> None:
+def seek(follower: storecopy.StoreFollower) -> None:
     """Asks others at random if what is known is old; returns at once."""
     forwarder, now = follower.reporter.forwarder, follower.clock.now()
     limits, known = forwarder.limits, forwarder.freshness.known_times
     known_at = min(known.servers_at, known.configuration_at)
-    if follower.seen is None or now - known_at < limits.refresh_age_ms:
+    if (follower.store_snapshot is None or
+            now - known_at < limits.refresh_age_ms):
         _note_sought(follower, now, False)
         return
     pause_ms = limits.refresh_pause_ms
     if now - known_at > limits.silence_timeout_ms:
         pause_ms *= staleness.SLOW_REFRESH_FACTOR
-    if now - follower.sought_at < pause_ms:
+    if now - follower.peers_asked_at < pause_ms:
         return
     _note_sought(follower, now, True)
     if requests.is_store_away(forwarder):
@@ -90,19 +92,20 @@
     others = sorted(requests.list_others(forwarder))
     chosen = forwarder.generator.sample(others, min(SEEK_PEERS, len(others)))
     for position, address in enumerate(chosen):
-        if follower.seeking.acquire(blocking=False):
+        if follower.random_request_slots.acquire(blocking=False):
             # One of them tells the configuration: it may be large.
             threading.Thread(target=_ask_any,
                              args=(follower, address, position == 0),
                              daemon=True).start()
 
 
-def _note_sought(follower: knowledge.Follower, now: float, old: bool) -> None:
+def _note_sought(follower: storecopy.StoreFollower, now: float,
+                 old: bool) -> None:
     """Logs when what is known turns old, and when it is recent again."""
-    if old == follower.outdated:
-        follower.sought_at = now if old else follower.sought_at
+    if old == follower.is_stale:
+        follower.peers_asked_at = now if old else follower.peers_asked_at
         return
-    follower.outdated, follower.sought_at = old, now
+    follower.is_stale, follower.peers_asked_at = old, now
     forwarder = follower.reporter.forwarder
     known = forwarder.freshness.known_times
     follower.logger.info('copy_outdated' if old else 'copy_recent',
@@ -113,7 +116,8 @@
                                                known.configuration_at)))
 
 
-def _ask_any(follower: knowledge.Follower, address: str, lacks: bool) -> None:
+def _ask_any(follower: storecopy.StoreFollower, address: str,
+             lacks: bool) -> None:
     """Asks an entry what it knows, and for everything if that leaves a gap.
 
     Args:
@@ -123,22 +127,22 @@
     """
     try:
         heard = _ask(follower, address, False, lacks)
-        if heard is not None and not knowledge.take_news(follower, heard):
+        if heard is not None and not storecopy.apply_news(follower, heard):
             _learn(follower, address)
     finally:
-        follower.seeking.release()
+        follower.random_request_slots.release()
 
 
-def _learn(follower: knowledge.Follower, address: str) -> None:
+def _learn(follower: storecopy.StoreFollower, address: str) -> None:
     """Learns all that another entry knows, unless this is under way."""
-    if not follower.learning.acquire(blocking=False):
+    if not follower.state_request_lock.acquire(blocking=False):
         return
     try:
         found = reporting.ask_state(follower.reporter, address, 0)
         if found is not None:
-            knowledge.take(follower, found, True)
+            storecopy.apply_snapshot(follower, found, True)
     finally:
-        follower.learning.release()
+        follower.state_request_lock.release()
 
 
 def choose(place: relays.TreePosition, avoided: dict[str, float],
@@ -149,7 +153,7 @@
                                        avoided.get(address, 0.0) - now))
 
 
-def find_place(follower: knowledge.Follower) -> relays.TreePosition | None:
+def find_place(follower: storecopy.StoreFollower) -> relays.TreePosition | None:
     """Returns an entry's place among the relays; None if the hub tells it."""
     reporter = follower.reporter
     hubs = {peer.address for peer in reporting.find_hubs(reporter)}
@@ -157,7 +161,7 @@
                                 reporter.forwarder.snapshot.entries, hubs)
 
 
-def _ask(follower: knowledge.Follower,
+def _ask(follower: storecopy.StoreFollower,
          address: str,
          waits: bool,
          lacks: bool = True) -> tables.News | None:
@@ -205,7 +209,7 @@
                        reply.configuration_revision)
 
 
-def answer(follower: knowledge.Follower,
+def answer(follower: storecopy.StoreFollower,
            asked: reports.NewsRequest) -> reports.NewsReply | None:
     """Tells what has changed, once there is something; None if nothing known.
 
@@ -217,13 +221,13 @@
     began = follower.clock.now()
     lacks = asked.version is not None and asked.version < forwarder.version
     if asked.waits and not lacks:
-        knowledge.await_change(follower, asked.revision,
-                               forwarder.limits.poll_wait_ms)
+        storecopy.wait_for_change(follower, asked.revision,
+                                  forwarder.limits.poll_wait_ms)
     # What is told is at least as new as these say.
     known = forwarder.freshness.known_times
     known_at = follower.clock.now()
     configuration_revision = forwarder.configuration_revision
-    seen = follower.seen
+    seen = follower.store_snapshot
     if seen is None:
         return None
     store, settings = forwarder.platform.store, forwarder.platform.settings
--- a/lentilmoor/operations.py
+++ b/lentilmoor/operations.py
@@ -187,7 +187,7 @@
     if isinstance(token, outcomes.Failed):
         return consoles.fail(_STORE_CODES.get(token.reason, _ExitCode.REFUSED),
                              f'{token.reason.value}: {token.detail}')
-    print(token.format_revision())
+    print(token.show())
     return _ExitCode.DONE
 
 
--- a/lentilmoor/runners.py
+++ b/lentilmoor/runners.py
@@ -50,7 +50,7 @@
 
     me: str
     store: stores.Store
-    servers: servers.ServerCalls
+    servers: servers.Servers
     peers: peers.Peers
     find_peer: Callable[[str], str | None]
     tell: Callable[[object], None]
--- a/lentilmoor/teampages.py
+++ b/lentilmoor/teampages.py
@@ -119,7 +119,7 @@
     if isinstance(token, _Failed):
         return pages.reply_failure(token)
     _log(call, 'credential_made', name=identity.name)
-    return pages.reply_json({'token': token.format_revision()}, _Status.CREATED)
+    return pages.reply_json({'token': token.show()}, _Status.CREATED)
 
 
 def revoke_credential(call: hooks.Call) -> pages.Reply:
--- a/lentilmoor/verifiers.py
+++ b/lentilmoor/verifiers.py
@@ -100,8 +100,7 @@
 
     def _prove(self, cached: _Cached, token: credentials.Token) -> bool:
         name = token.identity.name
-        mark = hashlib.blake2b(token.format_revision().encode(),
-                               key=self._key).digest()
+        mark = hashlib.blake2b(token.show().encode(), key=self._key).digest()
         if hmac.compare_digest(mark, cached.proven.get(name, b'')):
             return True
         if hmac.compare_digest(mark, cached.wrong):
--- a/standins/fleet.py
+++ b/standins/fleet.py
@@ -153,7 +153,7 @@
     token = credentials.make(store, credentials.Identity(team, 'demo'), clock)
     if isinstance(token, outcomes.Failed):
         raise FleetError(f'credential: {token.detail}')
-    return token.format_revision()
+    return token.show()
 
 
 def put_branch(fleet: Fleet, token: str, branch: dict[str, object]) -> None:
--- a/tests/adminhelp.py
+++ b/tests/adminhelp.py
@@ -76,8 +76,7 @@
     def make_token(self, team, name='ann'):
         """Makes a credential and returns its token."""
         identity = credentials.Identity(team, name)
-        return credentials.make(self.store, identity,
-                                self.clock).format_revision()
+        return credentials.make(self.store, identity, self.clock).show()
 
     def call(self, method, path, token='', body=b'', app=None, **headers):
         """Calls the app; header names have underscores for hyphens."""
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -20,13 +20,13 @@
 from lentilmoor.edge import controlstate
 from lentilmoor.edge import following
 from lentilmoor.edge import forwarding
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import picks
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import subscriptions
 from lentilmoor.edge import tables
 from lentilmoor.platform import store
@@ -91,12 +91,12 @@
             platform, logger, lambda: following.follow_again(self.follower))
         reporter = reporting.Reporter(settings.instance, self.forwarder, self,
                                       self.actor.tell)
-        self.follower = knowledge.Follower(
+        self.follower = storecopy.StoreFollower(
             ports.make_peer(settings.instance, settings), reporter, connected,
             clock, logger, self._take,
             lambda reason: self.actor.tell(control.StoreLost(reason)))
         self.follower.probe = lambda: self.actor.tell(control.Probe())
-        reporter.hear = functools.partial(knowledge.take_news, self.follower)
+        reporter.hear = functools.partial(storecopy.apply_news, self.follower)
         self._pages = {
             subscriptions.PATH: self._tell_news,
             reporting.PATH: self._take_report,
@@ -109,7 +109,7 @@
         avoided: dict[str, float] = {}
 
         def listen():
-            self.follower.place = subscriptions.find_place(self.follower)
+            self.follower.position = subscriptions.find_place(self.follower)
             pause_ms = subscriptions.exchange(self.follower, avoided)
             time.sleep(pause_ms / clocks.MS_PER_S)
 
@@ -135,7 +135,7 @@
 
     def stop(self) -> None:
         """Ends it; calls that hang are left to their time-outs."""
-        self.follower.begun = 1_000_000
+        self.follower.start_count = 1_000_000
         self.actor.stop(block=False)
         self.path.close()
 
@@ -263,7 +263,7 @@
                 })
 
     def _is_settled(self) -> bool:
-        places = [member.follower.place for member in self.members]
+        places = [member.follower.position for member in self.members]
         return places.count(None) == 1 and all(
             len(member.forwarder.snapshot.entries) == len(self.members) and
             member.would_send(STEADY) for member in self.members)
@@ -278,8 +278,8 @@
         """Returns an entry that tells others of its domain."""
         hub = self.find_hub()
         return next(
-            member for member in self.members if member.follower.place and
-            member.follower.place.is_relay and member.domain != hub.domain)
+            member for member in self.members if member.follower.position and
+            member.follower.position.is_relay and member.domain != hub.domain)
 
     def change(self) -> float:
         """Has a server leave and adds a route; returns when that was acked."""
--- a/tests/test_credentials.py
+++ b/tests/test_credentials.py
@@ -30,7 +30,7 @@
         return None if result == _ANN else result.reason
 
     def test_only_the_whole_token_is_accepted(self):
-        text = self.make().format_revision()
+        text = self.make().show()
         self.make(credentials.Identity('other', 'ann'))
         self.assertEqual(self.verify(text), _ANN)
         for wrong in (text[:-1], text + 'x', text.replace('shop', 'other'),
@@ -47,7 +47,7 @@
         self.assertNotIn(b'token', value)
 
     def test_comparison_is_constant_time_and_hashes_for_unknown_names_too(self):
-        text = self.make().format_revision()
+        text = self.make().show()
         for wrong in (text[:-1] + '!', text.replace('ann', 'bob'),
                       text.replace('shop', 'nobody')):
             with mock.patch.object(credentials,
@@ -62,7 +62,7 @@
             self.assertEqual(len(compared.call_args.args[1]), 64)
 
     def test_a_proven_secret_is_not_hashed_again_until_a_change(self):
-        text = self.make().format_revision()
+        text = self.make().show()
         with mock.patch.object(credentials,
                                'hash_secret',
                                wraps=credentials.hash_secret) as hashed:
@@ -74,7 +74,7 @@
             self.assertEqual(hashed.call_count, 2)
 
     def test_revoked_stops_within_the_fresh_time(self):
-        text = self.make().format_revision()
+        text = self.make().show()
         self.verify(text)
         self.assertIsNone(credentials.revoke(self.store, _ANN))
         self.time.advance(verifiers.FRESH_MS)
@@ -85,12 +85,12 @@
     def test_a_new_credential_works_at_once(self):
         self.assertEqual(self.reason('shop.ann.x'),
                          outcomes.Reason.NOT_AUTHORIZED)
-        self.assertEqual(self.verify(self.make().format_revision()), _ANN)
+        self.assertEqual(self.verify(self.make().show()), _ANN)
         bob = credentials.Identity('shop', 'bob')
-        self.assertEqual(self.verify(self.make(bob).format_revision()), bob)
+        self.assertEqual(self.verify(self.make(bob).show()), bob)
 
     def test_outage_keeps_what_is_known_and_no_longer(self):
-        text = self.make().format_revision()
+        text = self.make().show()
         self.verify(text)
         self.state.switches.outage = True
         self.time.advance(verifiers.FRESH_MS)
@@ -103,7 +103,7 @@
         self.assertEqual(self.reason(text), outcomes.Reason.STORE_UNAVAILABLE)
 
     def test_a_flood_of_tokens_is_bounded_towards_the_store(self):
-        text = self.make().format_revision()
+        text = self.make().show()
         self.verify(text)
         with mock.patch.object(credentials, 'prove', return_value=False):
             reasons = [self.reason(f'team-{n}.ann.x') for n in range(100)]
@@ -121,7 +121,7 @@
 
     def test_lost_reply_does_not_take_the_name_without_a_token(self):
         self.state.switches.lose_replies = 2
-        self.assertEqual(self.verify(self.make().format_revision()), _ANN)
+        self.assertEqual(self.verify(self.make().show()), _ANN)
 
     def test_credentials_that_do_not_parse(self):
         self.make()
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -15,12 +15,12 @@
 from lentilmoor import outcomes
 from lentilmoor.edge import control
 from lentilmoor.edge import following
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ownership
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 from lentilmoor.platform import store
 from lentilmoor.platform import views
@@ -62,7 +62,7 @@
                                                     logger) for _ in range(2))
         self.forwarder = requests.Forwarder(clock, None, logger, None)
         self.taken: list[ports.StoreSnapshot] = []
-        self.follower = knowledge.Follower(
+        self.follower = storecopy.StoreFollower(
             ports.Peer('e1', 'a:1'),
             reporting.Reporter('e1', self.forwarder, None, None), self.store,
             clock, logger, lambda found, heard: self.taken.append(found),
@@ -79,7 +79,7 @@
     def test_news_bring_what_changed(self):
         self.standin.put('op/config', platformhelp.make_configuration(4))
         heard = self._hear(self.first.revision)
-        found = knowledge.merge_news(self.follower, self.first, heard)
+        found = storecopy.merge_news(self.follower, self.first, heard)
         self.assertEqual(found.configuration.version, 4)
         self.assertEqual(found.revision, heard.revision)
         self.assertEqual(self.taken, [found])
@@ -90,7 +90,7 @@
         self.standin.put('op/config', platformhelp.make_configuration(4))
         heard = self._hear(self.first.revision + 1)
         self.assertEqual(heard.changes, b'')
-        self.assertIsNone(knowledge.merge_news(self.follower, self.first,
+        self.assertIsNone(storecopy.merge_news(self.follower, self.first,
                                                heard))
         self.assertFalse(self.taken)
 
@@ -107,7 +107,7 @@
 
     def test_what_does_not_parse_is_not_used(self):
         heard = tables.News(99, 0.0, self.first.revision, b'{"x": 1')
-        self.assertIsNone(knowledge.merge_news(self.follower, self.first,
+        self.assertIsNone(storecopy.merge_news(self.follower, self.first,
                                                heard))
 
     def test_older_changes_replace_nothing_whenever_they_come(self):
@@ -115,10 +115,10 @@
         self.standin.put('lentilmoor/entry/e', b'["e", "a:1", false]')
         self.standin.delete('lentilmoor/entry/e')
         heard = self._hear(self.first.revision)
-        knowledge.take_news(self.follower, heard)  # Nothing is known yet.
-        self.follower.seen = self.first
-        knowledge.take_news(self.follower, heard)
-        self.assertEqual(self.follower.seen.configuration.version, 4)
+        storecopy.apply_news(self.follower, heard)  # Nothing is known yet.
+        self.follower.store_snapshot = self.first
+        storecopy.apply_news(self.follower, heard)
+        self.assertEqual(self.follower.store_snapshot.configuration.version, 4)
         old = json.dumps([
             views.write_item(
                 views.Item('lentilmoor/entry/e', b'["e", "a:1", false]',
@@ -131,22 +131,22 @@
     def test_news_are_taken_in_beside_a_watch_that_is_not_answered(self):
         thread = threading.Thread(target=following.follow,
                                   args=(self.follower, 1))
-        self.follower.begun = 1
+        self.follower.start_count = 1
         thread.start()
         platformhelp.wait_until(lambda: self.taken, 3.0)
         self.standin.put('op/config', platformhelp.make_configuration(4))
         known = self.hub.watch(self.hub_first)
         self.standin.faults.away = 'silent'
-        self.follower.hurried.set()
+        self.follower.read_now.set()
         began = time.monotonic()
         time.sleep(0.2)
-        knowledge.take_news(
+        storecopy.apply_news(
             self.follower,
             tables.News(known.revision, 0.0, self.first.revision,
                         self.hub.encode_news(self.first.revision, _ROOM)))
         self.assertLess(time.monotonic() - began, 0.5)
         self.assertEqual(self.taken[-1].configuration.version, 4)
-        self.follower.begun = 2
+        self.follower.start_count = 2
         thread.join(8.0)
         self.assertFalse(thread.is_alive())
 
@@ -160,7 +160,7 @@
         whole = self.hub.load()
         heard = tables.News(whole.revision, 0.0, self.first.revision,
                             self.hub.encode_news(self.first.revision, _ROOM))
-        found = knowledge.merge_news(self.follower, self.first, heard)
+        found = storecopy.merge_news(self.follower, self.first, heard)
         self.assertEqual(found.configuration.version, 5)
         self.assertFalse(found.entries)
 
@@ -215,15 +215,16 @@
                       zlib.decompress(self.hub.encode_news(since, _ROOM)))
         heard = tables.News(known.revision, 0.0, since,
                             self.hub.encode_news(since, 4 * 1024), 4)
-        self.follower.seen, self.follower.whole = self.first, False
-        knowledge.take_news(self.follower, heard)
+        self.follower.store_snapshot, self.follower.needs_full_read = (
+            self.first, False)
+        storecopy.apply_news(self.follower, heard)
         # What fits is known at once: a server that leaves was learned of 2.9 s
         # late, as all news waited for a large configuration.
         self.assertEqual(list(self.taken[-1].entries), ['e'])
-        self.assertEqual(self.follower.seen.revision, known.revision)
+        self.assertEqual(self.follower.store_snapshot.revision, known.revision)
         # Not by a watch: it answers with each of the versions since, which at
         # five of them was more than a link of 10 Mbit/s brings in its 3.3 s.
-        self.assertEqual(self.follower.wanted, 4)
+        self.assertEqual(self.follower.peer_version, 4)
         found = self.store.load_configuration()
         self.assertEqual(found.configuration.version, 4)
         self.assertEqual(list(found.entries), ['e'])
@@ -246,7 +247,7 @@
         self.assertEqual(len(part['items']), 2)
         heard = tables.News(known.revision, 0.0, since,
                             self.hub.encode_news(since, _ROOM))
-        found = knowledge.merge_news(self.follower, self.first, heard)
+        found = storecopy.merge_news(self.follower, self.first, heard)
         self.assertEqual(found.configuration.version, 6)
         self.assertFalse(found.entries)
         self.assertEqual(found.revision, known.revision)
@@ -299,74 +300,76 @@
         self.assertIsNone(self.store.restore(self.hub.dump(0)))
 
     def test_after_a_gap_a_watch_brings_the_rest(self):
-        self.follower.seen, self.follower.whole = self.first, False
-        knowledge.take_news(
+        self.follower.store_snapshot, self.follower.needs_full_read = (
+            self.first, False)
+        storecopy.apply_news(
             self.follower,
             tables.News(self.first.revision + 9, 0.0, self.first.revision + 5,
                         b''))
-        self.assertFalse(self.follower.whole)
-        self.assertTrue(self.follower.hurried.is_set())
+        self.assertFalse(self.follower.needs_full_read)
+        self.assertTrue(self.follower.read_now.is_set())
 
     def test_who_lacks_the_configuration_of_the_hub_reads_just_that(self):
         # All was read before: 19 calls each of 195 entries, and the heartbeats
         # of 719 servers.
-        knowledge.take_news(self.follower, tables.News(99, 0.0, 0, b'', 4))
-        self.assertFalse(self.follower.hurried.is_set())
-        self.follower.seen, self.follower.whole = self.first, False
-        knowledge.take_news(
+        storecopy.apply_news(self.follower, tables.News(99, 0.0, 0, b'', 4))
+        self.assertFalse(self.follower.read_now.is_set())
+        self.follower.store_snapshot, self.follower.needs_full_read = (
+            self.first, False)
+        storecopy.apply_news(
             self.follower,
             tables.News(self.first.revision, 0.0, self.first.revision, b'', 3))
-        self.assertEqual(self.follower.wanted, 0)
+        self.assertEqual(self.follower.peer_version, 0)
         self.standin.put('op/config', platformhelp.make_configuration(4))
-        knowledge.take_news(
+        storecopy.apply_news(
             self.follower,
             tables.News(self.first.revision, 0.0, self.first.revision, b'', 4))
-        self.assertEqual(self.follower.wanted, 4)
+        self.assertEqual(self.follower.peer_version, 4)
         calls = self.standin.calls
-        self.follower.begun = 1
+        self.follower.start_count = 1
         thread = threading.Thread(target=following.follow,
                                   args=(self.follower, 1))
         thread.start()
         platformhelp.wait_until(lambda: self.taken, 3.0)
-        self.follower.begun = 2
+        self.follower.start_count = 2
         thread.join(2.0)
         self.assertEqual(self.taken[0].configuration.version, 4)
         self.assertEqual(self.standin.paths['/-/kv-key'], 1)
         self.assertLessEqual(self.standin.calls, calls + 2)
 
     def test_following_is_not_begun_anew_while_somebody_tells(self):
-        self.follower.begun = 1
+        self.follower.start_count = 1
         now = self.follower.clock.now()
         self.forwarder.heard = tables.News(5, now)
         following.follow_again(self.follower)
-        self.assertEqual(self.follower.begun, 1)
+        self.assertEqual(self.follower.start_count, 1)
         self.forwarder.heard = tables.News(5, now - 10_000.0)
         following.follow_again(self.follower)
-        self.assertEqual(self.follower.begun, 2)
-        self.follower.begun = 3
+        self.assertEqual(self.follower.start_count, 2)
+        self.follower.start_count = 3
 
     def test_who_hears_from_nobody_begins_anew(self):
         now = self.follower.clock.now()
-        self.follower.begun, self.follower.began_at = 1, now - 60_000.0
+        self.follower.start_count, self.follower.started_at = 1, now - 60_000.0
         silent_ms = self.forwarder.limits.silence_timeout_ms
         self.forwarder.heard = tables.News(5, now - silent_ms / 2)
         following.check(self.follower)
-        self.assertEqual(self.follower.begun, 1)
+        self.assertEqual(self.follower.start_count, 1)
         self.forwarder.heard = tables.News(5, now - silent_ms - 1.0)
         following.check(self.follower)
-        self.assertEqual(self.follower.begun, 2)
+        self.assertEqual(self.follower.start_count, 2)
         following.check(self.follower)
-        self.assertEqual(self.follower.begun, 2)
+        self.assertEqual(self.follower.start_count, 2)
         platformhelp.wait_until(lambda: self.taken, 3.0)
-        self.follower.begun = 3
+        self.follower.start_count = 3
 
     def test_following_ends_when_it_has_begun_anew(self):
-        self.follower.begun = 1
+        self.follower.start_count = 1
         thread = threading.Thread(target=following.follow,
                                   args=(self.follower, 1))
         thread.start()
         platformhelp.wait_until(lambda: self.taken, 3.0)
-        self.follower.begun = 2
+        self.follower.start_count = 2
         thread.join(2.0)
         self.assertFalse(thread.is_alive())
 
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -16,12 +16,12 @@
 from lentilmoor import logs
 from lentilmoor.edge import control
 from lentilmoor.edge import controlstate
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import revisions
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 from tests import platformhelp
 
@@ -112,14 +112,15 @@
         forwarder.snapshot = tables.RoutingSnapshot(
             None, {}, {}, {'x': ports.Peer('e1', 'a:1')}, {})
         reporter = reporting.Reporter('e9', forwarder, SlowCaller(), None)
-        follower = knowledge.Follower(ports.Peer('e9', 'a:9'), reporter, None,
-                                      forwarder.clock, forwarder.logger,
-                                      mock.Mock(), mock.Mock())
-        reporter.hear = functools.partial(knowledge.take_news, follower)
+        follower = storecopy.StoreFollower(ports.Peer('e9',
+                                                      'a:9'), reporter, None,
+                                           forwarder.clock, forwarder.logger,
+                                           mock.Mock(), mock.Mock())
+        reporter.hear = functools.partial(storecopy.apply_news, follower)
         reporting.exchange(reporter)
         # What isn't taken in makes nothing newer.
         self.assertEqual(requests.find_news_age(forwarder), reports.NEVER_MS)
-        follower.seen = ports.StoreSnapshot(None, {}, {}, {}, {}, 5)
+        follower.store_snapshot = ports.StoreSnapshot(None, {}, {}, {}, {}, 5)
         reporting.exchange(reporter)
         self.assertEqual(requests.find_news_age(forwarder), 1_000.0)
 
--- a/tests/test_edge_knowledge.py
+++ b/tests/test_edge_knowledge.py
@@ -9,13 +9,13 @@
 from lentilmoor import logs
 from lentilmoor.edge import control
 from lentilmoor.edge import following
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import revisions
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 from lentilmoor.platform import store
 from standins import platform_store
@@ -42,11 +42,11 @@
         self.handed: list[ports.StoreSnapshot] = []
         self.reporter = reporting.Reporter('e1', self.forwarder, mock.Mock(),
                                            mock.Mock())
-        self.follower = knowledge.Follower(ports.Peer('e1', 'a:1'),
-                                           self.reporter, self.store,
-                                           self.clock, logger, self._take,
-                                           mock.Mock())
-        self.reporter.hear = lambda heard: knowledge.take_news(
+        self.follower = storecopy.StoreFollower(ports.Peer('e1', 'a:1'),
+                                                self.reporter, self.store,
+                                                self.clock, logger, self._take,
+                                                mock.Mock())
+        self.reporter.hear = lambda heard: storecopy.apply_news(
             self.follower, heard)
         self.standin.put('op/config', platformhelp.make_configuration(1))
         self.assertTrue(following.read(self.follower, 0))
@@ -68,7 +68,8 @@
         revision = revisions.combine(
             revisions.find_era(self.forwarder.followed), self.standin.revision)
         other.merge_news(b'', revision)
-        knowledge.take(self.follower, self.store.restore(other.dump(0)), True)
+        storecopy.apply_snapshot(self.follower,
+                                 self.store.restore(other.dump(0)), True)
         self.assertEqual(self.forwarder.followed, revision)
         return acked_at
 
@@ -88,15 +89,15 @@
         self._check_newest_is_read(acked_at)
 
     def test_one_that_knows_less_proves_no_newest_configuration(self):
-        before = self.follower.seen.revision
+        before = self.follower.store_snapshot.revision
         heard = tables.News(before, self.clock.now(), before, b'', 1,
                             self.clock.now(), before)
         acked_at = self._learn_without_the_newest()
-        knowledge.take_news(self.follower, heard)
+        storecopy.apply_news(self.follower, heard)
         self._check_newest_is_read(acked_at)
 
     def test_a_watch_that_comes_late_brings_no_older_configuration(self):
-        before = self.follower.seen
+        before = self.follower.store_snapshot
         self.standin.put('lentilmoor/entry/e', b'["e", "a:9", false]')
         found = self.store.watch(before)
         other = store.connect_store(self.standin.address, self.clock,
@@ -105,13 +106,13 @@
         self.standin.put('op/config', platformhelp.make_configuration(2))
         other.watch(known)
         now = self.clock.now()
-        knowledge.take_news(
+        storecopy.apply_news(
             self.follower,
             tables.News(found.revision, now, before.revision,
                         other.encode_news(found.revision, 2**20, 1), 2, now,
                         found.revision))
         self.assertEqual(self.forwarder.version, 2)
-        knowledge.take(self.follower, found, False)
+        storecopy.apply_snapshot(self.follower, found, False)
         self.assertEqual(self.forwarder.newest_version, 2)
         self.assertEqual(self.forwarder.version, 2)
 
--- a/tests/test_edge_lost_takes.py
+++ b/tests/test_edge_lost_takes.py
@@ -9,10 +9,10 @@
 from lentilmoor import clocks
 from lentilmoor import logs
 from lentilmoor.edge import following
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import requests
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 from lentilmoor.platform import documents
 from lentilmoor.platform import store
@@ -30,29 +30,29 @@
         self.addCleanup(self.standin.close)
         self.store = store.connect_store(self.standin.address, clock, logger)
         self.taken: list[ports.StoreSnapshot] = []
-        self.follower = knowledge.Follower(
+        self.follower = storecopy.StoreFollower(
             ports.Peer('e1', 'a:1'),
             reporting.Reporter('e1',
                                requests.Forwarder(clock, None, logger, None),
                                None, None), self.store, clock, logger,
             lambda found, heard: self.taken.append(found), mock.Mock())
         self.standin.put('op/config', platformhelp.make_configuration(3))
-        knowledge.take(self.follower, self.store.load(), False)
-        self.follower.whole, self.follower.begun = False, 1
+        storecopy.apply_snapshot(self.follower, self.store.load(), False)
+        self.follower.needs_full_read, self.follower.start_count = False, 1
         self.standin.put('op/config', platformhelp.make_configuration(4))
         # The hub has version 4, which is too large for news.
-        self._hear(self.follower.seen.revision + 1)
-        self.assertEqual(self.follower.wanted, 4)
+        self._hear(self.follower.store_snapshot.revision + 1)
+        self.assertEqual(self.follower.peer_version, 4)
 
     def _hear(self, revision: int) -> None:
         """Takes in news in which nothing but the revision rose."""
-        knowledge.take_news(
+        storecopy.apply_news(
             self.follower,
             tables.News(revision, self.follower.clock.now(),
-                        self.follower.seen.revision, b'', 4))
+                        self.follower.store_snapshot.revision, b'', 4))
 
     def _check(self) -> None:
-        self.assertEqual(self.follower.seen.configuration.version, 4)
+        self.assertEqual(self.follower.store_snapshot.configuration.version, 4)
         self.assertEqual(self.taken[-1].configuration.version, 4,
                          'known, and never given to the control actor')
 
@@ -61,7 +61,7 @@
 
         def load_beside_news():
             found = load()
-            self._hear(self.follower.seen.revision + 1)
+            self._hear(self.follower.store_snapshot.revision + 1)
             return found
 
         self.follower.store = dataclasses.replace(
@@ -76,8 +76,9 @@
         threads = []
 
         def parse_slowly(data):
-            thread = threading.Thread(target=self._hear,
-                                      args=(self.follower.seen.revision + 1,))
+            thread = threading.Thread(
+                target=self._hear,
+                args=(self.follower.store_snapshot.revision + 1,))
             thread.start()
             threads.append(thread)
             time.sleep(0.1)
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -11,13 +11,13 @@
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor.edge import following
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import relays
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import subscriptions
 from lentilmoor.edge import tables
 from lentilmoor.platform import store
@@ -143,10 +143,10 @@
         self.peers = _Peers()
         self.hub, self.relay, self.entry = (
             self._make(f'e{number}') for number in range(3))
-        knowledge.take(self.hub, self.hub.store.load(), False)
+        storecopy.apply_snapshot(self.hub, self.hub.store.load(), False)
         for follower in (self.relay, self.entry):
-            knowledge.take(follower,
-                           follower.store.restore(self.hub.store.dump(0)), True)
+            storecopy.apply_snapshot(
+                follower, follower.store.restore(self.hub.store.dump(0)), True)
 
     def _make(self, name):
         clock = clocks.make_suspend_clock()
@@ -158,9 +158,9 @@
                 'settings.link_mbps': 200.0
             }), logger, None)
         reporter = reporting.Reporter(name, forwarder, self.peers, None)
-        follower = knowledge.Follower(ports.Peer(name, name + ':1'), reporter,
-                                      connected, clock, logger, mock.Mock(),
-                                      mock.Mock())
+        follower = storecopy.StoreFollower(ports.Peer(name, name + ':1'),
+                                           reporter, connected, clock, logger,
+                                           mock.Mock(), mock.Mock())
         self.peers.pages[name + ':1', subscriptions.PATH] = functools.partial(
             self._answer, follower)
         return follower
@@ -172,7 +172,7 @@
 
     def _listen(self, follower, *parents):
         """Has an entry ask others for news until the test ends."""
-        follower.place = relays.TreePosition(False, parents)
+        follower.position = relays.TreePosition(False, parents)
         avoided: dict[str, float] = {}
 
         def listen():
@@ -188,8 +188,8 @@
     def _change(self, version):
         """Changes the configuration; the hub learns of it by its watch."""
         self.standin.put('op/config', platformhelp.make_configuration(version))
-        found = self.hub.store.watch(self.hub.seen)
-        knowledge.take(self.hub, found, False)
+        found = self.hub.store.watch(self.hub.store_snapshot)
+        storecopy.apply_snapshot(self.hub, found, False)
         self._note_known(self.hub, 0.0)
 
     def _note_known(self, follower, age_ms):
@@ -199,7 +199,8 @@
 
     def _await_version(self, follower, version, seconds):
         platformhelp.wait_until(
-            lambda: follower.seen.configuration.version == version, seconds)
+            lambda: follower.store_snapshot.configuration.version == version,
+            seconds)
 
     def test_a_change_reaches_all_at_once_and_costs_the_store_nothing(self):
         self._listen(self.relay, 'e0:1')
@@ -239,16 +240,16 @@
         self._await_version(self.entry, 4, 2.0)
 
     def test_more_than_a_few_that_wait_are_answered_at_once(self):
-        for _ in range(knowledge.MOST_HELD):
+        for _ in range(storecopy.MAX_WAITING_REQUESTS):
             self.hub.held.acquire()
-        asked = reports.NewsRequest('e9', self.hub.seen.revision)
+        asked = reports.NewsRequest('e9', self.hub.store_snapshot.revision)
         began = time.monotonic()
         reply = subscriptions.answer(self.hub, asked)
         self.assertLess(time.monotonic() - began, 0.1)
         self.assertEqual(reply.changes, b'')
 
     def test_who_knows_nothing_says_so(self):
-        self.hub.seen = None
+        self.hub.store_snapshot = None
         self.assertEqual(
             self._answer(self.hub,
                          reports.encode_news(reports.NewsRequest('e9', 0)))[0],
@@ -271,15 +272,16 @@
         reporter = reporting.Reporter('e9', forwarder, mock.Mock(), None)
         lost = outcomes.Failed(outcomes.Reason.TIMED_OUT)
         away = mock.Mock(**{'load.return_value': lost})
-        self.follower = knowledge.Follower(ports.Peer('e9', 'a:9'),
-                                           reporter, away, clock, mock.Mock(),
-                                           mock.Mock(), mock.Mock())
+        self.follower = storecopy.StoreFollower(ports.Peer('e9', 'a:9'),
+                                                reporter, away, clock,
+                                                mock.Mock(), mock.Mock(),
+                                                mock.Mock())
         self.forwarder = forwarder
 
     def _find_pause(self, relay, heard_ms, told_ms=0.0):
         now = self.time.at
-        self.follower.place = relays.TreePosition(relay, ('b:1',))
-        self.follower.told_at = now - told_ms
+        self.follower.position = relays.TreePosition(relay, ('b:1',))
+        self.follower.relay_answered_at = now - told_ms
         self.forwarder.heard = tables.News(1, now - heard_ms)
         self.forwarder.freshness = staleness.Freshness(
             staleness.Times(now - heard_ms, now - heard_ms))
@@ -310,25 +312,25 @@
 
     def test_an_old_store_that_answers_again_is_left_to_the_relays(self):
         self._find_pause(False, 9_000.0)
-        self.follower.begun = 1
+        self.follower.start_count = 1
         following.follow_again(self.follower)
         following.check(self.follower)
-        self.assertEqual(self.follower.begun, 1)
+        self.assertEqual(self.follower.start_count, 1)
         self._find_pause(False, 9_000.0, 9_000.0)
         self.forwarder.platform = mock.Mock(**{'settings.seeds': ()})
         following.follow_again(self.follower)
-        self.assertEqual(self.follower.begun, 2)
-        self.follower.begun = 3
+        self.assertEqual(self.follower.start_count, 2)
+        self.follower.start_count = 3
 
     def _answer_again(self, what, heard_ms):
         """The store answers again while a call of a leaf to it is under way."""
         self._find_pause(False, heard_ms)
         self.forwarder.platform = mock.Mock(**{'settings.seeds': ()})
-        self.follower.begun = 1
-        self.follower.doing = (what, self.time.at - 1_000.0)
+        self.follower.start_count = 1
+        self.follower.activity = (what, self.time.at - 1_000.0)
         following.follow_again(self.follower)
         self.addCleanup(setattr, self.follower, 'begun', 9)
-        return self.follower.begun
+        return self.follower.start_count
 
     def test_who_waits_for_a_call_of_the_silent_store_looks_again(self):
         # It waited up to 3.3 s more, as a relay that knew nothing had spoken.
@@ -337,9 +339,11 @@
 
     def test_who_is_told_leaves_such_a_call_and_waits(self):
         # Its thread couldn't look when nobody told it any more.
-        self.follower.seen = ports.StoreSnapshot(None, {}, {}, {}, {}, 1)
+        self.follower.store_snapshot = ports.StoreSnapshot(
+            None, {}, {}, {}, {}, 1)
         self.assertEqual(self._answer_again('watch', 100.0), 2)
-        platformhelp.wait_until(lambda: self.follower.doing[0] == 'wait', 3.0)
+        platformhelp.wait_until(lambda: self.follower.activity[0] == 'wait',
+                                3.0)
         self.assertFalse(self.follower.store.watch.called)
         self.assertFalse(self.follower.store.load.called)
 
@@ -353,14 +357,15 @@
 
         self.follower.store.load.side_effect = hang
         self.forwarder.platform = mock.Mock(**{'settings.seeds': ()})
-        self.follower.begun = 1
+        self.follower.start_count = 1
         thread = threading.Thread(target=following.follow,
                                   args=(self.follower, 1))
         thread.start()
-        platformhelp.wait_until(lambda: self.follower.doing[0] == 'load', 3.0)
+        platformhelp.wait_until(lambda: self.follower.activity[0] == 'load',
+                                3.0)
         self.time.advance(3_300.0)
-        self.follower.begun = 9
-        self.follower.doing = ('wait', self.time.at)
+        self.follower.start_count = 9
+        self.follower.activity = ('wait', self.time.at)
         ended.set()
         thread.join(3.0)
         _, fields = self.follower.logger.info.call_args
@@ -383,29 +388,29 @@
         forwarder = requests.Forwarder(clock,
                                        mock.Mock(**{'settings.seeds': ()}),
                                        logger, None)
-        follower = knowledge.Follower(
+        follower = storecopy.StoreFollower(
             ports.Peer('e1', 'a:1'),
             reporting.Reporter('e1', forwarder, mock.Mock(), mock.Mock()),
             store.connect_store(standin.address, clock, logger), clock, logger,
             mock.Mock(), mock.Mock())
-        follower.place = relays.TreePosition(False, ('b:1',))
+        follower.position = relays.TreePosition(False, ('b:1',))
         self.addCleanup(setattr, follower, 'begun', 9)
         following.follow_again(follower)
-        platformhelp.wait_until(lambda: follower.doing[0] == 'wait', 3.0)
+        platformhelp.wait_until(lambda: follower.activity[0] == 'wait', 3.0)
         standin.faults.away = 'silent'
-        follower.hurried.set()
-        platformhelp.wait_until(lambda: follower.doing[0] == 'watch', 3.0)
+        follower.read_now.set()
+        platformhelp.wait_until(lambda: follower.activity[0] == 'watch', 3.0)
         # What is known grows old; its relay answers, and knows no more.
         time.sleep(1.3)
         platformhelp.wait_until(
-            lambda: follower.doing[0] == 'watch' and clock.now() - follower.
-            doing[1] > following.HUNG_MS, 3.0)
+            lambda: follower.activity[0] == 'watch' and clock.now() - follower.
+            activity[1] > following.HUNG_MS, 3.0)
         standin.faults.away = ''
         standin.put('op/config', platformhelp.make_configuration(6))
-        follower.told_at = clock.now()
+        follower.relay_answered_at = clock.now()
         following.follow_again(follower)
         platformhelp.wait_until(
-            lambda: follower.seen.configuration.version == 6, 1.0)
+            lambda: follower.store_snapshot.configuration.version == 6, 1.0)
 
 
 class StartTest(unittest.TestCase):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -13,7 +13,7 @@
     return {
         (sample.name, tuple(sorted(sample.labels.items()))): sample.value
         for family in parser.text_string_to_metric_families(
-            registry.format_revision().decode()) for sample in family.samples
+            registry.show().decode()) for sample in family.samples
     }
 
 
