--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -18,8 +18,8 @@
 
 from lentilmoor import clocks
 from lentilmoor import logs
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import keyranges
 from lentilmoor.edge import ownership
 from lentilmoor.edge import ports
@@ -86,9 +86,9 @@
         self._numbers = itertools.count()
         self._took_ms = ANSWER_MS
         self.silent: set[str] = set()
-        self.granted: list[tuple[str, float] | None] = [None] * tables.KEYS
+        self.granted: list[tuple[str, float] | None] = [None] * tables.KEY_COUNT
         self.saved: keyranges.Assignment | None = None
-        self.owned = beliefs.Beliefs(_HUB)
+        self.owned = controlstate.ControlState(_HUB)
         self._everything = _make_everything(entries, keyed, others)
         self._forwarder, self._actor = self._make_actor()
         self._reporter = reporting.Reporter(_HUB, self._forwarder, None,
@@ -103,19 +103,19 @@
                 'open_lease.return_value': ports.Lease(1, 1_500.0),
                 'register.return_value': None,
                 'keep_lease.return_value': None,
-                'take_role.return_value': None,
+                'claim_coordination.return_value': None,
                 'load_assignment.return_value': None,
                 'save.side_effect': self._save,
-                'tell_news.return_value': b'',
-                'find_silence.return_value': 0.0
+                'encode_news.return_value': b'',
+                'find_unanswered_ms.return_value': 0.0
             })
         settings = ports.Settings('e0', 'd', '', '', 'h:1', '', (), 2.0, 200.0,
                                   _BOUNDS)
-        servers = ports.Servers(self._grant, self._release, self._probe)
+        servers = ports.ServerCalls(self._grant, self._release, self._probe)
         logger = logs.make_logger(_HUB, io.StringIO())
         platform = ports.Platform(settings, store, servers, None)
         forwarder = requests.Forwarder(clock, platform, logger, None)
-        staleness.note_known(forwarder.freshness, math.inf, math.inf)
+        staleness.record_known_times(forwarder.freshness, math.inf, math.inf)
         return forwarder, control.Control(self.owned,
                                           forwarder,
                                           platform,
@@ -247,7 +247,7 @@
         if self.saved is not None:
             fence = self.saved.next_fence
             for _ in range(_ROWS):
-                key = self._random.randrange(tables.KEYS)
+                key = self._random.randrange(tables.KEY_COUNT)
                 if self._random.random() < _HOT_PART:
                     key = self._random.choice(_HOT)
                 owner = keyranges.find_owner(self.saved, key).server
@@ -261,7 +261,8 @@
                            {SERVICE: fence}))
 
 
-def _make_everything(entries: int, keyed: int, others: int) -> ports.Everything:
+def _make_everything(entries: int, keyed: int,
+                     others: int) -> ports.StoreSnapshot:
     services = {
         SERVICE: tables.Service(SERVICE, True, 400, 5_000.0),
         'files': tables.Service('files', False, 400, 0.0)
@@ -277,7 +278,7 @@
         f'e{number}.1': ports.Peer(f'e{number}.1', f'h{number}:1')
         for number in range(entries)
     }
-    return ports.Everything(
+    return ports.StoreSnapshot(
         tables.Configuration(1, {}, services, tables.CallerLimits()), servers,
         {SERVICE: peers[_HUB]}, {}, peers, 1)
 
@@ -289,9 +290,9 @@
     for entries, keyed, others in ((12, 15, 21), (59, 108, 148), (88, 95, 136)):
         model = HubModel(entries, keyed, others)
         model.run(6.0)
-        steps = model.owned.pace.steps
+        steps = model.owned.timing.steps
         spent = model.run(5.0) / 5
-        steps = (model.owned.pace.steps - steps) / 5
+        steps = (model.owned.timing.steps - steps) / 5
         print(f'  {entries:4} {keyed:4} {others:4} {spent:8.2f} {steps:6.0f}')
 
 
--- a/benchmarks/edge_spread.py
+++ b/benchmarks/edge_spread.py
@@ -166,11 +166,11 @@
     """Has each entry watch the store by itself."""
     known = {
         address:
-            fleet.random.uniform(0, LIMITS.follow_pause_ms) + FAR_MS +
+            fleet.random.uniform(0, LIMITS.watch_pause_ms) + FAR_MS +
             SMALL_WORK_MS for address in fleet.alive
     }
     heartbeats = _kbps(ENTRY_BYTES * _find_servers(fleet), HEARTBEAT_MS)
-    return known, _make_result(known, 1_000.0 / LIMITS.follow_pause_ms, 0.0,
+    return known, _make_result(known, 1_000.0 / LIMITS.watch_pause_ms, 0.0,
                                heartbeats)
 
 
@@ -223,27 +223,27 @@
                 0, reporting.REPORT_INTERVAL_MS)
             known[address] = fleet.carry(fleet.hub, address, asked, size)
     _tell_children(fleet, places, known, size)
-    reply = _kbps(EMPTY_BYTES, LIMITS.hold_ms)
-    direct = sum(place is None or place.relay for place in places.values())
-    most = max(relays.FANOUT if any(places.values()) else 0,
+    reply = _kbps(EMPTY_BYTES, LIMITS.poll_wait_ms)
+    direct = sum(place is None or place.is_relay for place in places.values())
+    most = max(relays.RELAY_FANOUT if any(places.values()) else 0,
                direct * fleet.scene.domains / SHOWN_DOMAINS)
     return known, _make_result(known, _find_hub_calls(fleet), reply * most,
                                reply)
 
 
-def _find_places(fleet: Fleet) -> dict[str, relays.Place | None]:
+def _find_places(fleet: Fleet) -> dict[str, relays.TreePosition | None]:
     """Returns the places of entries of some failure domains: all look alike."""
     entries = {peer.instance: peer for peer in fleet.peers}
     shown = {f'd{number}' for number in range(SHOWN_DOMAINS - 1)}
     shown.add(f'd{fleet.scene.domains - 1}')
     return {
-        peer.address: relays.find_place(peer, entries, {fleet.hub})
+        peer.address: relays.find_position(peer, entries, {fleet.hub})
         for peer in fleet.peers
         if peer.address in fleet.alive and peer.domain in shown
     }
 
 
-def _tell_children(fleet: Fleet, places: dict[str, relays.Place | None],
+def _tell_children(fleet: Fleet, places: dict[str, relays.TreePosition | None],
                    known: dict[str, float], size: float) -> None:
     """Lets the change go from parent to child; lost parents cost a limit."""
     left = {
@@ -265,7 +265,7 @@
             del left[address]
 
 
-def _find_parent(fleet: Fleet, place: relays.Place) -> tuple[int, str]:
+def _find_parent(fleet: Fleet, place: relays.TreePosition) -> tuple[int, str]:
     """Returns how many parents are lost, and the first that isn't."""
     for lost, parent in enumerate(place.parents):
         if parent in fleet.alive:
@@ -275,18 +275,18 @@
 
 def _draw_waste(fleet: Fleet, lost: int) -> float:
     """Returns how long lost parents hold up an entry that asks them, ms."""
-    limit_ms = LIMITS.hold_ms + LIMITS.ask_ms
+    limit_ms = LIMITS.poll_wait_ms + LIMITS.poll_reply_ms
     if not lost:
         return 0.0
     return lost * limit_ms - fleet.random.uniform(0, limit_ms)
 
 
 def _find_look(fleet: Fleet) -> float:
-    return fleet.random.uniform(0, LIMITS.lead_pause_ms) + FAR_MS
+    return fleet.random.uniform(0, LIMITS.hub_watch_pause_ms) + FAR_MS
 
 
 def _find_hub_calls(fleet: Fleet) -> float:
-    return 1_000.0 / LIMITS.lead_pause_ms / len(fleet.peers)
+    return 1_000.0 / LIMITS.hub_watch_pause_ms / len(fleet.peers)
 
 
 def _make_result(known: dict[str, float], calls: float, sent: float,
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -18,13 +18,12 @@
 from lentilmoor import shutdowns
 from lentilmoor import signals
 from lentilmoor import tries
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import following
 from lentilmoor.edge import forwarding
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import listening
 from lentilmoor.edge import permits
 from lentilmoor.edge import ports
@@ -33,6 +32,7 @@
 from lentilmoor.edge import requestmetrics
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import subscriptions
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
@@ -44,7 +44,7 @@
 # doesn't take it holds a thread, and must not keep the hub's news from all
 # others. A report is given up by who sent it after some 1 s. Requests for news
 # wait in these threads too.
-PEER_THREADS = (8, 16 + knowledge.MOST_HELD)
+PEER_THREADS = (8, 16 + storecopy.MAX_WAITING_REQUESTS)
 REPLY_WRITE_MS = 1_000.0
 # Kept open to another entry: one for reports, one for news.
 PEER_CONNECTIONS = 2
@@ -91,8 +91,8 @@
     reporter: reporting.Reporter | None = None
     listeners: list[listening.Listener] = dataclasses.field(
         default_factory=list)
-    follower: knowledge.Follower | None = None
-    pace: beliefs.Pace | None = None
+    follower: storecopy.StoreFollower | None = None
+    pace: controlstate.ActorTiming | None = None
     hurry: threading.Event = dataclasses.field(default_factory=threading.Event)
 
 
@@ -164,8 +164,8 @@
         platform.settings.control, clock, logger, socket_options)
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
                   requestmetrics.RequestMetrics(clock))
-    owned = beliefs.Beliefs(instance)
-    entry.pace = owned.pace
+    owned = controlstate.ControlState(instance)
+    entry.pace = owned.timing
     entry.actor = control.Control.start(
         owned,
         forwarder,
@@ -177,22 +177,23 @@
         instance, forwarder,
         httpcalls.Caller(clock, PEER_CONNECTIONS, socket_options),
         entry.actor.tell)
-    entry.follower = knowledge.Follower(
+    entry.follower = storecopy.StoreFollower(
         ports.make_peer(instance, platform.settings), entry.reporter,
         platform.store, clock, logger, functools.partial(_take_store, entry),
         lambda reason: entry.actor.tell(control.StoreLost(reason)))
     entry.follower.probe = lambda: entry.actor.tell(control.Probe())
     platform.store.on_restore(
         functools.partial(following.restart_with_full_read, entry.follower))
-    entry.reporter.on_news = functools.partial(knowledge.take_news,
+    entry.reporter.on_news = functools.partial(storecopy.apply_news,
                                                entry.follower)
     log_error = listening.make_error_log(logger)
     callers = listening.make_listener(
         platform.settings.callers,
         listening.make_caller_gateway(
-            platform.dialect, functools.partial(forwarding.forward, forwarder),
+            platform.header_format,
+            functools.partial(forwarding.forward, forwarder),
             functools.partial(_note, entry), entry.count,
-            lambda: _find_limits(entry).body_bytes, clock), CALLER_THREADS,
+            lambda: _find_limits(entry).max_body_bytes, clock), CALLER_THREADS,
         log_error)
     ready = listening.make_listener(
         platform.settings.ready,
@@ -259,16 +260,17 @@
                     len(rows)
                     for rows in entry.forwarder.unserved_ranges.values())),
         'store_watches':
-            float(entry.follower.begun),
+            float(entry.follower.start_count),
         'store_era':
             float(entry.platform.store.find_era()),
         'news_age_ms':
             requests.find_knowledge_age(entry.forwarder),
         'configuration_age_ms':
-            requests.find_age(entry.forwarder,
-                              entry.forwarder.freshness.known.configuration_at),
+            requests.find_age(
+                entry.forwarder,
+                entry.forwarder.freshness.known_times.configuration_at),
         'unapplied_changes':
-            float(len(entry.forwarder.freshness.handed)),
+            float(len(entry.forwarder.freshness.pending_changes)),
         'suspected_requests':
             float(len(entry.forwarder.suspects.suspects)),
         'quarantined_requests':
@@ -281,7 +283,7 @@
             requests.find_age(entry.forwarder,
                               entry.forwarder.departure.checked_at),
         'control_late_ms':
-            entry.pace.late_ms,
+            entry.pace.tick_delay_ms,
         'control_steps':
             float(entry.pace.steps),
         'control_step_ms':
@@ -371,16 +373,16 @@
     return 200, reports.encode_permit(reply), 'application/json'
 
 
-def _take_store(entry: Entry, found: ports.Everything, heard: bool) -> None:
-    number = staleness.hand_over(entry.forwarder.freshness)
+def _take_store(entry: Entry, found: ports.StoreSnapshot, heard: bool) -> None:
+    number = staleness.add_pending_change(entry.forwarder.freshness)
     entry.actor.tell(control.StoreSeen(found, heard, number))
     if found.configuration is None:
         return
     limits = found.configuration.limits
     callers = entry.listeners[0]
-    callers.timeout = (limits.idle_ms / clocks.MS_PER_S +
+    callers.timeout = (limits.idle_timeout_ms / clocks.MS_PER_S +
                        listening.IDLE_SLACK_S)
-    callers.max_request_header_size = limits.header_bytes
+    callers.max_request_header_size = limits.max_header_bytes
 
 
 def _tick(entry: Entry) -> None:
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -82,7 +82,7 @@
                                selection.SERVICE_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
-    patience_ms = request.fields.patience_ms or PATIENCE_MS
+    patience_ms = request.fields.caller_timeout_ms or PATIENCE_MS
     until = request.arrived_at + min(patience_ms - WAY_BACK_MS,
                                      route.timeout_ms)
     run = requests.Run(request, route, service, until)
@@ -100,7 +100,7 @@
 
 
 def _await_configuration(forwarder: requests.Forwarder,
-                         request: requests.Request) -> tables.Snapshot:
+                         request: requests.Request) -> tables.RoutingSnapshot:
     """Waits a little for the configuration of an entry that has just started.
 
     It comes some 25 ms after the first requests are read; a caller that is
@@ -135,7 +135,7 @@
 
 
 def _find_wait_end(request: requests.Request) -> float:
-    patience_ms = request.fields.patience_ms or PATIENCE_MS
+    patience_ms = request.fields.caller_timeout_ms or PATIENCE_MS
     return request.arrived_at + START_WAIT_PART * patience_ms
 
 
@@ -147,7 +147,7 @@
         left_ms = until - forwarder.clock.now()
         if left_ms <= 0:
             return False
-        staleness.await_change(forwarder.freshness, min(left_ms, AWAIT_MS))
+        staleness.wait_for_change(forwarder.freshness, min(left_ms, AWAIT_MS))
     return True
 
 
@@ -221,7 +221,7 @@
         return False
     # The new owner of a moving key may have turned the request away before it
     # was granted the key; asking it again takes it to no other server.
-    if len(run.sent_to | {choice.server.id}) > max(1, run.route.attempts):
+    if len(run.sent_to | {choice.server.id}) > max(1, run.route.max_attempts):
         return False
     with forwarder.lock:
         return retrybudgets.take_retry(_budget_of(forwarder, run.service.name),
@@ -246,7 +246,7 @@
                 _check_blocked(forwarder, run) is not None):
             return None
         if requests.find_knowledge_age(
-                forwarder) > forwarder.age_limits.send_ms:
+                forwarder) > forwarder.age_limits.max_send_age_ms:
             _log_outdated(forwarder, request, 'sent_by_old_copy')
         _log_if_unavailable(forwarder, run, server, state)
         ratelimits.note_sent(forwarder.rate_limits, server.id,
@@ -254,16 +254,16 @@
                              forwarder.logger)
         headers = dict(request.headers)
         run.server, run.sent_at = server.id, forwarder.clock.now()
-        forwarder.platform.dialect.mark(headers, server.name or server.id,
-                                        until - run.sent_at)
+        forwarder.platform.header_format.add_server_headers(
+            headers, server.name or server.id, until - run.sent_at)
         return headers
 
     order = exchange.Order(request.fields.request_id, request.method,
                            request.target, make_headers, request.body,
                            run.idempotent, until)
-    result = exchange.send(pool, order, request.watch,
-                           forwarder.platform.dialect.read_answer,
-                           forwarder.clock)
+    result = exchange.send(
+        pool, order, request.watch,
+        forwarder.platform.header_format.parse_answer_headers, forwarder.clock)
     now = forwarder.clock.now()
     run.server = ''
     if isinstance(result, exchange.Gone):
@@ -301,7 +301,7 @@
     if now - forwarder.stale_logged_at < OUTDATED_LOG_INTERVAL_MS:
         return
     forwarder.stale_logged_at = now
-    applied = staleness.find_applied(forwarder.freshness)
+    applied = staleness.find_applied_times(forwarder.freshness)
     forwarder.logger.info(event,
                           request=request.fields.request_id,
                           servers_age_ms=round(
@@ -309,8 +309,8 @@
                           configuration_age_ms=round(
                               requests.find_age(forwarder,
                                                 applied.configuration_at)),
-                          unapplied=len(forwarder.freshness.handed),
-                          replies=len(forwarder.freshness.replies),
+                          unapplied=len(forwarder.freshness.pending_changes),
+                          replies=len(forwarder.freshness.unreachable_reports),
                           age_ms=round(now - request.arrived_at))
 
 
@@ -359,7 +359,7 @@
     """
     # An entry that started again is registered twice for a while.
     entries = {peer.address for peer in forwarder.snapshot.entries.values()}
-    share = connections.share_connections(service.connections, len(entries))
+    share = connections.share_connections(service.max_connections, len(entries))
     return dataclasses.replace(forwarder.rules,
                                most=min(forwarder.rules.most, share))
 
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -223,7 +223,7 @@
     forwarder = reporter.forwarder
     now, table = forwarder.clock.now(), reporter.table
     # What is told is at least as new as these say.
-    known = forwarder.freshness.known
+    known = forwarder.freshness.known_times
     configuration_revision = forwarder.configuration_revision
     revision, version = (forwarder.followed_revision,
                          forwarder.newest_configuration_version)
@@ -248,7 +248,7 @@
         coordinated=_tell_coordinated(reporter, found.wants_works),
         revision=revision,
         since=found.revision,
-        changes=forwarder.platform.store.tell_news(
+        changes=forwarder.platform.store.encode_news(
             found.revision,
             find_news_budget(forwarder.platform.settings.link_mbps,
                              len(forwarder.snapshot.entries)), None),
@@ -264,19 +264,19 @@
 
 
 def _tell_coordinated(reporter: Reporter,
-                      works: bool) -> dict[str, tables.Coordinated]:
+                      works: bool) -> dict[str, tables.CoordinatorStatus]:
     """Returns what this entry tells of the services that it coordinates."""
     told = reporter.forwarder.coordinated
     if works:
         return told
     return {
-        name: tables.Coordinated(item.unserved, {})
+        name: tables.CoordinatorStatus(item.unserved, {})
         for name, item in told.items()
     }
 
 
 def fetch_state_from_peer(reporter: Reporter,
-                          whole: bool) -> ports.Everything | None:
+                          whole: bool) -> ports.StoreSnapshot | None:
     """Asks another entry what the store holds.
 
     Args:
@@ -299,7 +299,7 @@
 
 
 def fetch_state(reporter: Reporter, address: str,
-                since: int) -> ports.Everything | None:
+                since: int) -> ports.StoreSnapshot | None:
     """Asks an entry what has changed in the store.
 
     Args:
@@ -364,7 +364,7 @@
     """Takes in what the hubs told; what none tells any more is forgotten."""
     forwarder = reporter.forwarder
     now = forwarder.clock.now()
-    coordinated: dict[str, tables.Coordinated] = {}
+    coordinated: dict[str, tables.CoordinatorStatus] = {}
     for told in replies:
         reply = told.reply
         coordinated.update(reply.coordinated)
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -39,7 +39,7 @@
       arrived_at: ms.
     """
 
-    fields: ports.CallerFields
+    fields: ports.CallerHeaders
     method: str
     host: str
     path: str
@@ -122,8 +122,8 @@
     rules: connections.Rules
     route_index: matching.RouteIndex = dataclasses.field(
         default_factory=lambda: matching.make_index({}))
-    snapshot: tables.Snapshot = dataclasses.field(
-        default_factory=lambda: tables.Snapshot(None, {}, {}, {}, {}))
+    snapshot: tables.RoutingSnapshot = dataclasses.field(
+        default_factory=lambda: tables.RoutingSnapshot(None, {}, {}, {}, {}))
     changed: threading.Condition = dataclasses.field(
         default_factory=threading.Condition)
     server_states: dict[str, placement.ServerState] = dataclasses.field(
@@ -141,7 +141,7 @@
         default_factory=threading.Event)
     unserved_ranges: dict[str, list[tuple[int, int]]] = dataclasses.field(
         default_factory=dict)
-    coordinated: dict[str, tables.Coordinated] = dataclasses.field(
+    coordinated: dict[str, tables.CoordinatorStatus] = dataclasses.field(
         default_factory=dict)
     suspects: quarantine.Quarantine = dataclasses.field(
         default_factory=quarantine.Quarantine)
@@ -204,12 +204,12 @@
     @property
     def idempotent(self) -> bool:
         """Whether it may be run more than once."""
-        return self.route.repeat is tables.Repeat.IDEMPOTENT
+        return self.route.repeat is tables.RepeatPolicy.IDEMPOTENT
 
 
 def find_knowledge_age(forwarder: Forwarder) -> float:
     """Returns how long ago an entry knew all that the store held, ms."""
-    return find_age(forwarder, forwarder.freshness.known.servers_at)
+    return find_age(forwarder, forwarder.freshness.known_times.servers_at)
 
 
 def find_age(forwarder: Forwarder, known_at: float) -> float:
@@ -228,20 +228,23 @@
 
 def is_server_data_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be sent by what is known of servers."""
-    known_at = staleness.find_applied(forwarder.freshness).servers_at
-    return _is_usable(forwarder, known_at, forwarder.age_limits.send_ms)
+    known_at = staleness.find_applied_times(forwarder.freshness).servers_at
+    return _is_usable(forwarder, known_at, forwarder.age_limits.max_send_age_ms)
 
 
 def is_configuration_recent(forwarder: Forwarder) -> bool:
     """Returns whether requests may be routed by the configuration."""
-    known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return _is_usable(forwarder, known_at, forwarder.age_limits.route_ms)
+    known_at = staleness.find_applied_times(
+        forwarder.freshness).configuration_at
+    return _is_usable(forwarder, known_at,
+                      forwarder.age_limits.max_route_age_ms)
 
 
 def may_reject_unknown_route(forwarder: Forwarder) -> bool:
     """Returns whether a route that isn't known certainly doesn't exist."""
-    known_at = staleness.find_applied(forwarder.freshness).configuration_at
-    return find_age(forwarder, known_at) <= forwarder.age_limits.deny_ms
+    known_at = staleness.find_applied_times(
+        forwarder.freshness).configuration_at
+    return find_age(forwarder, known_at) <= forwarder.age_limits.max_deny_age_ms
 
 
 def _is_usable(forwarder: Forwarder, known_at: float, limit_ms: float) -> bool:
@@ -251,7 +254,7 @@
 
 def is_store_unavailable(forwarder: Forwarder) -> bool:
     """Returns whether the store seems to be away from everybody."""
-    return staleness.is_store_away(forwarder.freshness,
-                                   list_other_entries(forwarder),
-                                   forwarder.platform.store.find_silence(),
-                                   forwarder.clock.now(), forwarder.age_limits)
+    return staleness.is_store_unavailable(
+        forwarder.freshness, list_other_entries(forwarder),
+        forwarder.platform.store.find_unanswered_ms(), forwarder.clock.now(),
+        forwarder.age_limits)
--- a/lentilmoor/edge/selection.py
+++ b/lentilmoor/edge/selection.py
@@ -48,7 +48,7 @@
     servers = [server for server in candidates if not waits_ms[server.id]]
     with forwarder.lock:
         wish = placement.ChoiceCriteria(
-            forwarder.platform.settings.domain, run.route.large,
+            forwarder.platform.settings.domain, run.route.large_answers,
             placement.average_work(servers, forwarder.server_states))
         choice = placement.choose_server(servers, forwarder.server_states, wish,
                                          now, forwarder.generator.random)
@@ -122,7 +122,8 @@
     if leaves_at is None:
         return False
     bounds = forwarder.platform.settings.bounds
-    last = leaves_at + bounds.drain_ms - forwarder.age_limits.leave_ms
+    last = (leaves_at + bounds.drain_ms -
+            forwarder.age_limits.last_request_margin_ms)
     return forwarder.clock.now() >= last
 
 
@@ -249,7 +250,7 @@
                for first, last in forwarder.unserved_ranges.get(service, ()))
 
 
-def _find_owner(snapshot: tables.Snapshot, service: str,
+def _find_owner(snapshot: tables.RoutingSnapshot, service: str,
                 key: int) -> tables.Server | None:
     assignment = snapshot.assignments.get(service)
     if assignment is None:
@@ -260,7 +261,7 @@
     return snapshot.servers.get(service, {}).get(found.server)
 
 
-def await_snapshot(forwarder: requests.Forwarder, seen: tables.Snapshot,
+def await_snapshot(forwarder: requests.Forwarder, seen: tables.RoutingSnapshot,
                    wait_ms: float) -> None:
     """Waits until another snapshot has replaced one, or a time is over.
 
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -14,12 +14,12 @@
 from lentilmoor import clocks
 from lentilmoor import httpcalls
 from lentilmoor import outcomes
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import relays
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 
 PATH = '/news'
@@ -30,16 +30,16 @@
 RANDOM_PEERS = 3
 
 
-def request_news_forever(follower: knowledge.Follower) -> None:
+def request_news_forever(follower: storecopy.StoreFollower) -> None:
     """Asks for news for as long as the process lives."""
     avoided: dict[str, float] = {}
     while True:
-        follower.place = find_place(follower)
+        follower.position = find_place(follower)
         clocks.pause(request_news(follower, avoided))
 
 
-def request_news(follower: knowledge.Follower, avoided: dict[str,
-                                                             float]) -> float:
+def request_news(follower: storecopy.StoreFollower,
+                 avoided: dict[str, float]) -> float:
     """Asks once for news, if there is somebody to ask.
 
     Args:
@@ -50,62 +50,64 @@
       The pause until the next time, ms.
     """
     limits = follower.reporter.forwarder.age_limits
-    if follower.place is None or follower.seen is None:
-        return limits.hold_ms
+    if follower.position is None or follower.store_snapshot is None:
+        return limits.poll_wait_ms
     began = follower.clock.now()
-    address = choose_parent(follower.place, avoided, began)
+    address = choose_parent(follower.position, avoided, began)
     heard = _ask(follower, address, True)
     now = follower.clock.now()
     if heard is not None:
-        follower.told_at = now
-        knowledge.take_news(follower, heard)
+        follower.relay_answered_at = now
+        storecopy.apply_news(follower, heard)
     # One that doesn't answer or knows nothing recent keeps this entry from
     # asking others.
-    if heard is None or began - heard.seen_at > limits.seek_ms:
-        avoided[address] = now + limits.seek_ms
+    if heard is None or began - heard.seen_at > limits.refresh_age_ms:
+        avoided[address] = now + limits.refresh_age_ms
     if heard is not None and heard.changes:
         return BATCH_INTERVAL_MS
-    return max(BATCH_INTERVAL_MS, limits.hold_ms - (now - began))
+    return max(BATCH_INTERVAL_MS, limits.poll_wait_ms - (now - began))
 
 
-def ask_random_peers(follower: knowledge.Follower) -> None:
+def ask_random_peers(follower: storecopy.StoreFollower) -> None:
     """Asks others at random if what is known is old; returns at once."""
     forwarder, now = follower.reporter.forwarder, follower.clock.now()
-    limits, known = forwarder.age_limits, forwarder.freshness.known
+    limits, known = forwarder.age_limits, forwarder.freshness.known_times
     known_at = min(known.servers_at, known.configuration_at)
-    if follower.seen is None or now - known_at < limits.seek_ms:
+    if (follower.store_snapshot is None or
+            now - known_at < limits.refresh_age_ms):
         _note_sought(follower, now, False)
         return
-    pause_ms = limits.seek_pause_ms
-    if now - known_at > limits.silent_ms:
-        pause_ms *= staleness.SLOW_SEEK
-    if now - follower.sought_at < pause_ms:
+    pause_ms = limits.refresh_pause_ms
+    if now - known_at > limits.silence_timeout_ms:
+        pause_ms *= staleness.SLOW_REFRESH_FACTOR
+    if now - follower.peers_asked_at < pause_ms:
         return
     _note_sought(follower, now, True)
     if requests.is_store_unavailable(forwarder):
-        forwarder.freshness.away_at = now
-    if now - follower.probed_at >= limits.read_ms:
+        forwarder.freshness.store_unavailable_at = now
+    if now - follower.probed_at >= limits.watch_reply_ms:
         # Whether the store answers tells what the others' silence means.
         follower.probed_at = now
         follower.probe()
     others = sorted(requests.list_other_entries(forwarder))
     chosen = forwarder.generator.sample(others, min(RANDOM_PEERS, len(others)))
     for position, address in enumerate(chosen):
-        if follower.seeking.acquire(blocking=False):
+        if follower.random_request_slots.acquire(blocking=False):
             # One of them tells the configuration: it may be large.
             threading.Thread(target=_ask_any,
                              args=(follower, address, position == 0),
                              daemon=True).start()
 
 
-def _note_sought(follower: knowledge.Follower, now: float, old: bool) -> None:
+def _note_sought(follower: storecopy.StoreFollower, now: float,
+                 old: bool) -> None:
     """Logs when what is known turns old, and when it is recent again."""
-    if old == follower.outdated:
-        follower.sought_at = now if old else follower.sought_at
+    if old == follower.is_stale:
+        follower.peers_asked_at = now if old else follower.peers_asked_at
         return
-    follower.outdated, follower.sought_at = old, now
+    follower.is_stale, follower.peers_asked_at = old, now
     forwarder = follower.reporter.forwarder
-    known = forwarder.freshness.known
+    known = forwarder.freshness.known_times
     follower.logger.info('copy_outdated' if old else 'copy_recent',
                          age_ms=round(
                              requests.find_age(forwarder, known.servers_at)),
@@ -114,7 +116,8 @@
                                                known.configuration_at)))
 
 
-def _ask_any(follower: knowledge.Follower, address: str, lacks: bool) -> None:
+def _ask_any(follower: storecopy.StoreFollower, address: str,
+             lacks: bool) -> None:
     """Asks an entry what it knows, and for everything if that leaves a gap.
 
     Args:
@@ -124,25 +127,25 @@
     """
     try:
         heard = _ask(follower, address, False, lacks)
-        if heard is not None and not knowledge.take_news(follower, heard):
+        if heard is not None and not storecopy.apply_news(follower, heard):
             _learn(follower, address)
     finally:
-        follower.seeking.release()
+        follower.random_request_slots.release()
 
 
-def _learn(follower: knowledge.Follower, address: str) -> None:
+def _learn(follower: storecopy.StoreFollower, address: str) -> None:
     """Learns all that another entry knows, unless this is under way."""
-    if not follower.learning.acquire(blocking=False):
+    if not follower.state_request_lock.acquire(blocking=False):
         return
     try:
         found = reporting.fetch_state(follower.reporter, address, 0)
         if found is not None:
-            knowledge.take(follower, found, True)
+            storecopy.apply_snapshot(follower, found, True)
     finally:
-        follower.learning.release()
+        follower.state_request_lock.release()
 
 
-def choose_parent(place: relays.Place, avoided: dict[str, float],
+def choose_parent(place: relays.TreePosition, avoided: dict[str, float],
                   now: float) -> str:
     """Returns whom to ask: the first that isn't avoided, or was so longest."""
     return min(place.parents,
@@ -150,15 +153,15 @@
                                        avoided.get(address, 0.0) - now))
 
 
-def find_place(follower: knowledge.Follower) -> relays.Place | None:
+def find_place(follower: storecopy.StoreFollower) -> relays.TreePosition | None:
     """Returns an entry's place among the relays; None if the hub tells it."""
     reporter = follower.reporter
     hubs = {peer.address for peer in reporting.find_hubs(reporter)}
-    return relays.find_place(follower.own, reporter.forwarder.snapshot.entries,
-                             hubs)
+    return relays.find_position(follower.own,
+                                reporter.forwarder.snapshot.entries, hubs)
 
 
-def _ask(follower: knowledge.Follower,
+def _ask(follower: storecopy.StoreFollower,
          address: str,
          waits: bool,
          lacks: bool = True) -> tables.News | None:
@@ -177,10 +180,10 @@
                             forwarder.configuration_version if lacks else None,
                             waits))
     asked_at = follower.clock.now()
-    wait_ms = forwarder.age_limits.hold_ms if waits else 0.0
+    wait_ms = forwarder.age_limits.poll_wait_ms if waits else 0.0
     result = reporter.caller.call(address,
                                   httpcalls.Request('POST', PATH, data),
-                                  wait_ms + forwarder.age_limits.ask_ms,
+                                  wait_ms + forwarder.age_limits.poll_reply_ms,
                                   CONNECT_TIMEOUT_MS)
     failed = isinstance(result, outcomes.Failed)
     reply = None
@@ -196,17 +199,18 @@
     # What is known is as old as it was when the reply was written, and its way
     # may have taken all the time for which it wasn't held.
     replied_at = asked_at + reply.held_ms
-    staleness.note_copy(forwarder.freshness, replied_at - reply.news_age_ms)
-    if reply.unanswered_ms >= forwarder.age_limits.unanswered_ms:
-        staleness.note_unreached(forwarder.freshness, address,
-                                 follower.clock.now())
+    staleness.record_peer_copy(forwarder.freshness,
+                               replied_at - reply.news_age_ms)
+    if reply.unanswered_ms >= forwarder.age_limits.unreachable_after_ms:
+        staleness.record_unreachable_report(forwarder.freshness, address,
+                                            follower.clock.now())
     return tables.News(reply.revision, replied_at - reply.news_age_ms,
                        reply.since, reply.changes, reply.version,
                        replied_at - reply.configuration_age_ms,
                        reply.configuration_revision)
 
 
-def handle_news_request(follower: knowledge.Follower,
+def handle_news_request(follower: storecopy.StoreFollower,
                         asked: reports.NewsRequest) -> reports.NewsReply | None:
     """Tells what has changed, once there is something; None if nothing known.
 
@@ -219,25 +223,25 @@
     lacks = (asked.version is not None and
              asked.version < forwarder.configuration_version)
     if asked.waits and not lacks:
-        knowledge.await_change(follower, asked.revision,
-                               forwarder.age_limits.hold_ms)
+        storecopy.wait_for_change(follower, asked.revision,
+                                  forwarder.age_limits.poll_wait_ms)
     # What is told is at least as new as these say.
-    known = forwarder.freshness.known
+    known = forwarder.freshness.known_times
     known_at = follower.clock.now()
     configuration_revision = forwarder.configuration_revision
-    seen = follower.seen
+    seen = follower.store_snapshot
     if seen is None:
         return None
     store, settings = forwarder.platform.store, forwarder.platform.settings
-    room = reporting.find_news_budget(settings.link_mbps, relays.FANOUT)
+    room = reporting.find_news_budget(settings.link_mbps, relays.RELAY_FANOUT)
     return reports.NewsReply(
         revision=seen.revision,
         since=asked.revision,
-        changes=store.tell_news(asked.revision, room, asked.version),
+        changes=store.encode_news(asked.revision, room, asked.version),
         news_age_ms=min(known_at - known.servers_at, reports.UNKNOWN_AGE_MS),
         version=forwarder.newest_configuration_version,
         held_ms=known_at - began,
         configuration_age_ms=min(known_at - known.configuration_at,
                                  reports.UNKNOWN_AGE_MS),
         configuration_revision=configuration_revision,
-        unanswered_ms=store.find_silence())
+        unanswered_ms=store.find_unanswered_ms())
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -16,17 +16,17 @@
 from lentilmoor import httpcalls
 from lentilmoor import logs
 from lentilmoor import outcomes
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import following
 from lentilmoor.edge import forwarding
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import selection
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import subscriptions
 from lentilmoor.edge import tables
 from lentilmoor.platform import store
@@ -87,16 +87,18 @@
         self.forwarder = requests.Forwarder(clock, platform, logger, None)
         self.forwarder.age_limits = settings.limits
         self.actor = control.Control.start(
-            beliefs.Beliefs(settings.instance), self.forwarder, platform,
-            logger, lambda: following.restart_following(self.follower))
+            controlstate.ControlState(settings.instance), self.forwarder,
+            platform, logger,
+            lambda: following.restart_following(self.follower))
         reporter = reporting.Reporter(settings.instance, self.forwarder, self,
                                       self.actor.tell)
-        self.follower = knowledge.Follower(
+        self.follower = storecopy.StoreFollower(
             ports.make_peer(settings.instance, settings), reporter, connected,
             clock, logger, self._take,
             lambda reason: self.actor.tell(control.StoreLost(reason)))
         self.follower.probe = lambda: self.actor.tell(control.Probe())
-        reporter.on_news = functools.partial(knowledge.take_news, self.follower)
+        reporter.on_news = functools.partial(storecopy.apply_news,
+                                             self.follower)
         self._pages = {
             subscriptions.PATH: self._tell_news,
             reporting.PATH: self._take_report,
@@ -109,7 +111,7 @@
         avoided: dict[str, float] = {}
 
         def listen():
-            self.follower.place = subscriptions.find_place(self.follower)
+            self.follower.position = subscriptions.find_place(self.follower)
             pause_ms = subscriptions.request_news(self.follower, avoided)
             time.sleep(pause_ms / clocks.MS_PER_S)
 
@@ -135,14 +137,14 @@
 
     def stop(self) -> None:
         """Ends it; calls that hang are left to their time-outs."""
-        self.follower.begun = 1_000_000
+        self.follower.start_count = 1_000_000
         self.actor.stop(block=False)
         self.path.close()
 
-    def _take(self, found: ports.Everything, heard: bool) -> None:
+    def _take(self, found: ports.StoreSnapshot, heard: bool) -> None:
         if not self._fleet.ended.is_set():
             self.actor.tell(control.Returned(self._wait_if_stuck))
-            number = staleness.hand_over(self.forwarder.freshness)
+            number = staleness.add_pending_change(self.forwarder.freshness)
             self.actor.tell(control.StoreSeen(found, heard, number))
 
     def _wait_if_stuck(self) -> None:
@@ -197,7 +199,7 @@
 
     def would_deny(self) -> bool:
         """Returns whether it answers 404 for the route that was added."""
-        request = requests.Request(ports.CallerFields('r', 100.0, None), 'GET',
+        request = requests.Request(ports.CallerHeaders('r', 100.0, None), 'GET',
                                    platformhelp.HOST, NEW_PREFIX + 'x',
                                    NEW_PREFIX + 'x', {}, b'', mock.Mock(),
                                    self.forwarder.clock.now())
@@ -263,7 +265,7 @@
                 })
 
     def _is_settled(self) -> bool:
-        places = [member.follower.place for member in self.members]
+        places = [member.follower.position for member in self.members]
         return places.count(None) == 1 and all(
             len(member.forwarder.snapshot.entries) == len(self.members) and
             member.would_send(STEADY) for member in self.members)
@@ -277,9 +279,9 @@
     def find_relay(self) -> Member:
         """Returns an entry that tells others of its domain."""
         hub = self.find_hub()
-        return next(member for member in self.members
-                    if member.follower.place and member.follower.place.relay and
-                    member.domain != hub.domain)
+        return next(
+            member for member in self.members if member.follower.position and
+            member.follower.position.is_relay and member.domain != hub.domain)
 
     def change(self) -> float:
         """Has a server leave and adds a route; returns when that was acked."""
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -65,14 +65,15 @@
         platform = ports.Platform(settings, None, None, dialect.make_dialect())
         self.forwarder = requests.Forwarder(clock, platform,
                                             logs.make_logger('test'), _RULES)
-        staleness.note_known(self.forwarder.freshness, math.inf, math.inf)
+        staleness.record_known_times(self.forwarder.freshness, math.inf,
+                                     math.inf)
         self.addCleanup(self._close_pools)
         self._publish(self.before.id)
 
     def _publish(self, owner: str, attempts: int = 3) -> None:
-        route = tables.Route('stock', 'h', '/', tables.Repeat.IDEMPOTENT, False,
-                             (tables.Part('catalog', 1.0),), attempts, 3_000.0,
-                             500.0, 1)
+        route = tables.Route('stock', 'h', '/', tables.RepeatPolicy.IDEMPOTENT,
+                             False, (tables.RouteTarget('catalog', 1.0),),
+                             attempts, 3_000.0, 500.0, 1)
         configuration = tables.Configuration(
             1, {'stock': route},
             {'catalog': tables.Service('catalog', True, 100, 0.0)},
@@ -86,10 +87,9 @@
             'catalog', 1, 3, (keyranges.KeyRange(0, 65_535, owner, 2),))
         self.forwarder.route_index = matching.make_index(configuration.routes)
         with self.forwarder.changed:
-            self.forwarder.snapshot = tables.Snapshot(configuration,
-                                                      {'catalog': servers},
-                                                      {'catalog': assignment},
-                                                      {}, {})
+            self.forwarder.snapshot = tables.RoutingSnapshot(
+                configuration, {'catalog': servers}, {'catalog': assignment},
+                {}, {})
             self.forwarder.changed.notify_all()
 
     def _close_pools(self) -> None:
@@ -100,7 +100,7 @@
         ours, theirs = socket.socketpair()
         self.addCleanup(ours.close)
         self.addCleanup(theirs.close)
-        request = requests.Request(ports.CallerFields('r1', 2_000.0, _KEY),
+        request = requests.Request(ports.CallerHeaders('r1', 2_000.0, _KEY),
                                    'GET', 'h', '/x', '/x',
                                    {'Lentilmoor-Shard-Key': str(_KEY)}, b'',
                                    exchange.CallerWatch(ours),
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -14,14 +14,14 @@
 from lentilmoor import clocks
 from lentilmoor import httpcalls
 from lentilmoor import logs
-from lentilmoor.edge import beliefs
 from lentilmoor.edge import control
-from lentilmoor.edge import knowledge
+from lentilmoor.edge import controlstate
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import revisions
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 from tests import platformhelp
 
@@ -41,15 +41,15 @@
         model = edge_hub.HubModel(59, 108, 148)
         model.run(4.0)
         self.assertGreater(len(model.saved.ranges), 108)
-        before = model.owned.pace.steps
+        before = model.owned.timing.steps
         model.run(2.0)
-        self.assertLess(model.owned.pace.steps - before, 2 * 60)
+        self.assertLess(model.owned.timing.steps - before, 2 * 60)
 
     def test_a_line_tells_that_messages_wait(self):
         stream, time_ = io.StringIO(), clocks.ManualTime(10_000.0)
         forwarder = requests.Forwarder(time_.clock(), mock.Mock(),
                                        logs.make_logger('e1', stream), None)
-        actor = control.Control(beliefs.Beliefs('e1'),
+        actor = control.Control(controlstate.ControlState('e1'),
                                 forwarder, forwarder.platform, forwarder.logger,
                                 mock.Mock())
         actor.on_receive(control.Tick(9_800.0))
@@ -112,18 +112,19 @@
 
         forwarder = requests.Forwarder(time_.clock(), mock.Mock(),
                                        logs.make_logger('test'), None)
-        forwarder.snapshot = tables.Snapshot(None, {}, {},
-                                             {'x': ports.Peer('e1', 'a:1')}, {})
+        forwarder.snapshot = tables.RoutingSnapshot(
+            None, {}, {}, {'x': ports.Peer('e1', 'a:1')}, {})
         reporter = reporting.Reporter('e9', forwarder, SlowCaller(), None)
-        follower = knowledge.Follower(ports.Peer('e9', 'a:9'), reporter, None,
-                                      forwarder.clock, forwarder.logger,
-                                      mock.Mock(), mock.Mock())
-        reporter.on_news = functools.partial(knowledge.take_news, follower)
+        follower = storecopy.StoreFollower(ports.Peer('e9',
+                                                      'a:9'), reporter, None,
+                                           forwarder.clock, forwarder.logger,
+                                           mock.Mock(), mock.Mock())
+        reporter.on_news = functools.partial(storecopy.apply_news, follower)
         reporting.exchange_reports(reporter)
         # What isn't taken in makes nothing newer.
         self.assertEqual(requests.find_knowledge_age(forwarder),
                          reports.UNKNOWN_AGE_MS)
-        follower.seen = ports.Everything(None, {}, {}, {}, {}, 5)
+        follower.store_snapshot = ports.StoreSnapshot(None, {}, {}, {}, {}, 5)
         reporting.exchange_reports(reporter)
         self.assertEqual(requests.find_knowledge_age(forwarder), 1_000.0)
 
--- a/tests/test_edge_knowledge.py
+++ b/tests/test_edge_knowledge.py
@@ -9,13 +9,13 @@
 from lentilmoor import logs
 from lentilmoor.edge import control
 from lentilmoor.edge import following
-from lentilmoor.edge import knowledge
 from lentilmoor.edge import ports
 from lentilmoor.edge import reporting
 from lentilmoor.edge import reports
 from lentilmoor.edge import requests
 from lentilmoor.edge import revisions
 from lentilmoor.edge import staleness
+from lentilmoor.edge import storecopy
 from lentilmoor.edge import tables
 from lentilmoor.platform import store
 from standins import platform_store
@@ -39,14 +39,14 @@
                                   mock.Mock())
         self.forwarder = requests.Forwarder(self.clock, platform, logger, None)
         self.forwarder.age_limits = settings.limits
-        self.handed: list[ports.Everything] = []
+        self.handed: list[ports.StoreSnapshot] = []
         self.reporter = reporting.Reporter('e1', self.forwarder, mock.Mock(),
                                            mock.Mock())
-        self.follower = knowledge.Follower(ports.Peer('e1', 'a:1'),
-                                           self.reporter, self.store,
-                                           self.clock, logger, self._take,
-                                           mock.Mock())
-        self.reporter.on_news = lambda heard: knowledge.take_news(
+        self.follower = storecopy.StoreFollower(ports.Peer('e1', 'a:1'),
+                                                self.reporter, self.store,
+                                                self.clock, logger, self._take,
+                                                mock.Mock())
+        self.reporter.on_news = lambda heard: storecopy.apply_news(
             self.follower, heard)
         self.standin.put('op/config', platformhelp.make_configuration(1))
         self.assertTrue(following.read_store(self.follower, 0))
@@ -54,7 +54,8 @@
     def _take(self, found, unused_heard):
         freshness = self.forwarder.freshness
         self.handed.append(found)  # The actor applies at once.
-        staleness.note_applied(freshness, staleness.hand_over(freshness))
+        staleness.mark_applied(freshness,
+                               staleness.add_pending_change(freshness))
 
     def _learn_without_the_newest(self):
         """Learns all from one that is further on, but lacks a configuration."""
@@ -68,13 +69,14 @@
             revisions.find_era(self.forwarder.followed_revision),
             self.standin.revision)
         other.merge_news(b'', revision)
-        knowledge.take(self.follower, self.store.restore(other.dump(0)), True)
+        storecopy.apply_snapshot(self.follower,
+                                 self.store.restore(other.dump(0)), True)
         self.assertEqual(self.forwarder.followed_revision, revision)
         return acked_at
 
     def _check_newest_is_read(self, acked_at):
         self.standin.put('lentilmoor/entry/f', b'["f", "a:8", false]')
-        self.assertLess(self.forwarder.freshness.known.configuration_at,
+        self.assertLess(self.forwarder.freshness.known_times.configuration_at,
                         acked_at)
         following.read_store(self.follower, 0)
         self.assertEqual(self.forwarder.configuration_version, 2)
@@ -88,15 +90,15 @@
         self._check_newest_is_read(acked_at)
 
     def test_one_that_knows_less_proves_no_newest_configuration(self):
-        before = self.follower.seen.revision
+        before = self.follower.store_snapshot.revision
         heard = tables.News(before, self.clock.now(), before, b'', 1,
                             self.clock.now(), before)
         acked_at = self._learn_without_the_newest()
-        knowledge.take_news(self.follower, heard)
+        storecopy.apply_news(self.follower, heard)
         self._check_newest_is_read(acked_at)
 
     def test_a_watch_that_comes_late_brings_no_older_configuration(self):
-        before = self.follower.seen
+        before = self.follower.store_snapshot
         self.standin.put('lentilmoor/entry/e', b'["e", "a:9", false]')
         found = self.store.watch(before)
         other = store.connect_store(self.standin.address, self.clock,
@@ -105,13 +107,13 @@
         self.standin.put('op/config', platformhelp.make_configuration(2))
         other.watch(known)
         now = self.clock.now()
-        knowledge.take_news(
+        storecopy.apply_news(
             self.follower,
             tables.News(found.revision, now, before.revision,
-                        other.tell_news(found.revision, 2**20, 1), 2, now,
+                        other.encode_news(found.revision, 2**20, 1), 2, now,
                         found.revision))
         self.assertEqual(self.forwarder.configuration_version, 2)
-        knowledge.take(self.follower, found, False)
+        storecopy.apply_snapshot(self.follower, found, False)
         self.assertEqual(self.forwarder.newest_configuration_version, 2)
         self.assertEqual(self.forwarder.configuration_version, 2)
 
@@ -133,12 +135,14 @@
     def test_the_longest_way_from_the_store_fits_the_bound(self):
         for bound in (2_000.0, 2_500.0, 3_000.0):
             limits = staleness.make_limits(bound, bound)
-            usual = limits.lead_pause_ms + 2 * limits.hold_ms
-            self.assertLess(usual, limits.seek_ms)
+            usual = limits.hub_watch_pause_ms + 2 * limits.poll_wait_ms
+            self.assertLess(usual, limits.refresh_age_ms)
             # A question to one that hangs, then one to any other.
-            self.assertLessEqual(limits.seek_ms + limits.ask_ms, limits.send_ms)
-            self.assertLess(limits.send_ms, bound)
-            self.assertLess(limits.watch_ms + limits.read_ms, limits.seek_ms)
+            self.assertLessEqual(limits.refresh_age_ms + limits.poll_reply_ms,
+                                 limits.max_send_age_ms)
+            self.assertLess(limits.max_send_age_ms, bound)
+            self.assertLess(limits.watch_wait_ms + limits.watch_reply_ms,
+                            limits.refresh_age_ms)
 
     def test_a_bound_that_can_not_be_kept_is_refused(self):
         for bounds in ((400.0, 2_000.0), (2_000.0, 400.0)):
@@ -155,27 +159,27 @@
         self.limits = staleness.make_limits(2_000.0, 2_000.0)
 
     def _is_away(self, others, now, unanswered_ms=60_000.0):
-        return staleness.is_store_away(self.freshness, others, unanswered_ms,
-                                       now, self.limits)
+        return staleness.is_store_unavailable(self.freshness, others,
+                                              unanswered_ms, now, self.limits)
 
     def test_half_of_the_others_have_to_say_so(self):
         for name in 'abc':
-            staleness.note_unreached(self.freshness, name, 5_000.0)
+            staleness.record_unreachable_report(self.freshness, name, 5_000.0)
         self.assertTrue(self._is_away('abcdef', 5_100.0))
         self.assertFalse(self._is_away('abcdefg', 5_100.0))
         self.assertFalse(self._is_away('abcdef', 9_001.0))
 
     def test_who_reaches_the_store_does_not_take_it_for_away(self):
-        staleness.note_unreached(self.freshness, 'a', 5_000.0)
+        staleness.record_unreachable_report(self.freshness, 'a', 5_000.0)
         self.assertFalse(self._is_away('a', 5_100.0, 100.0))
         self.assertFalse(self._is_away((), 5_100.0, 100.0))
 
     def test_a_recent_copy_of_anybody_says_that_it_is_not(self):
         for name in 'abc':
-            staleness.note_unreached(self.freshness, name, 5_000.0)
-        staleness.note_copy(self.freshness, 4_900.0)
+            staleness.record_unreachable_report(self.freshness, name, 5_000.0)
+        staleness.record_peer_copy(self.freshness, 4_900.0)
         self.assertFalse(self._is_away('abc', 5_100.0))
-        staleness.note_copy(self.freshness, 5_001.0)
+        staleness.record_peer_copy(self.freshness, 5_001.0)
         self.assertFalse(self._is_away('abc', 6_500.0))
 
 
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -23,8 +23,9 @@
 _CLEAR = quarantine.Verdict.CLEAR
 _SUSPECT = quarantine.Verdict.SUSPECT
 _SERVICE = tables.Service('orders', False, 100, 0.0)
-_ROUTE = tables.Route('r', 'h', '/', tables.Repeat.IDEMPOTENT, False,
-                      (tables.Part('orders', 1.0),), 3, 3_000.0, 500.0, 1)
+_ROUTE = tables.Route('r', 'h', '/', tables.RepeatPolicy.IDEMPOTENT, False,
+                      (tables.RouteTarget('orders', 1.0),), 3, 3_000.0, 500.0,
+                      1)
 _RULES = connections.Rules(most=4,
                            idle_ms=8_000.0,
                            proven_ms=8_000.0,
@@ -34,8 +35,8 @@
 
 
 def _make_request(target: str) -> requests.Request:
-    return requests.Request(ports.CallerFields('r1', 1_000.0, None), 'GET', 'h',
-                            target, target, {}, b'', None, 0.0)
+    return requests.Request(ports.CallerHeaders('r1', 1_000.0, None), 'GET',
+                            'h', target, target, {}, b'', None, 0.0)
 
 
 _BAD, _SOUND = _make_request('/bad'), _make_request('/sound')
@@ -74,7 +75,7 @@
 
     def _publish(self, server: tables.Server) -> None:
         rows = self.forwarder.snapshot.servers.get('orders', {})
-        self.forwarder.snapshot = tables.Snapshot(
+        self.forwarder.snapshot = tables.RoutingSnapshot(
             None, {'orders': rows | {
                 server.id: server
             }}, {}, {}, {})
@@ -319,15 +320,15 @@
                             clock=forwarder.clock,
                             call=lambda work, take: take(work(), 0.0))
         context.platform.store = self.platform
-        context.owned.suspects_at = 0.0
-        context.owned.lost_at = 0.0
-        context.owned.everything = self.platform.load()
+        context.owned.suspects_due_at = 0.0
+        context.owned.store_lost_at = 0.0
+        context.owned.store_snapshot = self.platform.load()
         return context
 
-    def _keep(self) -> ports.Everything:
+    def _keep(self) -> ports.StoreSnapshot:
         """Has the entry write what is due, and read it."""
         self.time.advance(savedsuspects.WRITE_RETRY_MS)
-        self.context.owned.everything = self.platform.load()
+        self.context.owned.store_snapshot = self.platform.load()
         savedsuspects.update_store(self.context, self.time.at)
         return self.platform.load()
 
