--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -328,7 +328,8 @@
         for name in owned.servers:
             if name not in everything.servers and name not in owned.missing:
                 suspects.note_unlisted(self._forwarder, owned.servers[name])
-                owned.missing[name] = max(now, back_at + ownership.RETURN_MS)
+                owned.missing[name] = max(now,
+                                          back_at + ownership.RETURN_GRACE_MS)
                 owned.servers[name] = dataclasses.replace(owned.servers[name],
                                                           unlisted_at=known_at)
 
--- a/lentilmoor/edge/coordination.py
+++ b/lentilmoor/edge/coordination.py
@@ -60,7 +60,7 @@
       era: The store's era.
     """
     # Its author may have used fences that were not saved.
-    fence = max(before.next_fence + ownership.FENCES_AHEAD,
+    fence = max(before.next_fence + ownership.MAX_UNSAVED_FENCES,
                 keyranges.find_first_fence(era))
     ranges = keyranges.merge(
         structs.replace(item, fence=fence) for item in before.ranges)
@@ -140,8 +140,8 @@
                                            revisions.find_era(revision)))
     if predecessor is not None:
         state.predecessor = predecessor
-        latest = (now + ownership.TENURE_MS + ownership.GRANT_WAIT_MS +
-                  ownership.GRANT_MS)
+        latest = (now + ownership.MAX_OFFLINE_MS + ownership.POOL_TIMEOUT_MS +
+                  ownership.GRANT_TIMEOUT_MS)
         until = holds.find_end(latest, state.hold_ms)
         state.held = [
             # Under the fences of earlier coordinators, which are lower.
@@ -158,8 +158,8 @@
 
     An earlier coordinator that is up sees within a lease that it is replaced.
     """
-    latest = (now + ownership.LEASE_MS + ownership.GRANT_WAIT_MS +
-              ownership.GRANT_MS)
+    latest = (now + ownership.COORDINATOR_LEASE_MS + ownership.POOL_TIMEOUT_MS +
+              ownership.GRANT_TIMEOUT_MS)
     until = holds.find_end(latest, state.hold_ms)
     state.since = until
     state.held.append(
@@ -273,14 +273,14 @@
     if granted.answer is ownership.Answer.DONE:
         _note_renewed(state, renewal, grant, granted.link)
         if whole:
-            renewal.due_at = sent_at + grant.hold_ms * ownership.RENEW_PART
+            renewal.due_at = sent_at + grant.hold_ms * ownership.RENEW_FRACTION
         return
     if granted.answer is not ownership.Answer.NOT_SENT:
         ownership.change_fence(state, renewal, granted.link)
     # A new fence needs no wait if the old one was not sent.
     at_once = (granted.answer is ownership.Answer.UNLINKED and
                renewal.link is None)
-    renewal.due_at = now if at_once else now + ownership.AGAIN_MS
+    renewal.due_at = now if at_once else now + ownership.GRANT_RETRY_MS
 
 
 def _note_renewed(state: ownership.Coordination, renewal: ownership.Renewal,
@@ -348,7 +348,7 @@
       now: ms.
     """
     state.saving = False
-    state.save_at = now + ownership.SAVE_AGAIN_MS
+    state.save_at = now + ownership.SAVE_RETRY_MS
     for move in state.moves:
         if move.phase is ownership.Phase.SAVING:
             move.phase = ownership.Phase.WAIT
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -189,7 +189,7 @@
     lease = owned.lease
     sent_at = context.clock.now()
     if lease is None:
-        lease = store.open_lease(ownership.LEASE_MS)
+        lease = store.open_lease(ownership.COORDINATOR_LEASE_MS)
         if isinstance(lease, outcomes.Failed):
             return lease
     taken = store.take_role(name, context.peer, lease, replaced)
--- a/lentilmoor/edge/moves.py
+++ b/lentilmoor/edge/moves.py
@@ -38,7 +38,7 @@
         move.phase is not ownership.Phase.WAIT for move in state.moves) or any(
             ownership.may_return(state, view, item.server, now)
             for item in state.assignment.ranges)
-    if not unsure and now - state.balanced_at >= ownership.BALANCE_MS:
+    if not unsure and now - state.balanced_at >= ownership.REBALANCE_PERIOD_MS:
         state.balanced_at = now
         _plan_balance(state, view, capacities, now)
 
@@ -200,7 +200,7 @@
     # Until it may grant keys, moves of an earlier era may be unknown to it.
     era = state.era if now >= state.since else assignment.era
     unsaved = state.next_fence - assignment.next_fence
-    if (not laid and unsaved < ownership.FENCES_AHEAD / 2 and
+    if (not laid and unsaved < ownership.MAX_UNSAVED_FENCES / 2 and
             assignment.era == era):
         return []
     changed = [
--- a/lentilmoor/edge/ownership.py
+++ b/lentilmoor/edge/ownership.py
@@ -16,40 +16,40 @@
 
 # The coordinator's lease. Its successor takes over after the lease has run
 # out, which must leave time to renew grants before they run out in turn.
-LEASE_MS = 1_500.0
+COORDINATOR_LEASE_MS = 1_500.0
 # How long a server holds keys without a renewal. Keys of a server that went
 # silent stay unserved for so long; a coordinator that is lost must be
 # replaced within what a renewal leaves of it.
 HOLD_MS = 3_000.0
 # A hold is renewed when this part of it has passed.
-RENEW_PART = 0.25
+RENEW_FRACTION = 0.25
 # Shortest hold that is granted: a few times the way to a server and back.
-SHORTEST_HOLD_MS = 200.0
+MIN_HOLD_MS = 200.0
 # Time limit of a grant; a server that is up answers at once. After it the
 # connection is reset, so that the grant can't arrive any more.
-GRANT_MS = 400.0
+GRANT_TIMEOUT_MS = 400.0
 # Time limit for getting a free connection, before that of the grant.
-GRANT_WAIT_MS = 400.0
+POOL_TIMEOUT_MS = 400.0
 # Keys whose grant got no answer are granted again after this.
-AGAIN_MS = 300.0
+GRANT_RETRY_MS = 300.0
 # A coordinator that can't reach the store goes on renewing for so long, so
 # that keys stay served through the store's outages, the longest of which took
 # 9 s. A successor counts with it for servers that it can't reach.
-TENURE_MS = 12_000.0
+MAX_OFFLINE_MS = 12_000.0
 # A save that failed is tried again after this.
-SAVE_AGAIN_MS = 300.0
+SAVE_RETRY_MS = 300.0
 # Servers that don't answer are tried again this often.
-PROBE_MS = 1_000.0
+PROBE_INTERVAL_MS = 1_000.0
 # A grant that could not be sent for so long after it was decided is dropped.
-STALE_MS = 500.0
+MAX_GRANT_AGE_MS = 500.0
 # Fences that a coordinator may use beyond the saved ones, so that a new fence
 # needs no save. Its successor begins above them.
-FENCES_AHEAD = 100_000
+MAX_UNSAVED_FENCES = 100_000
 # Pause between two plans that even out load.
-BALANCE_MS = 500.0
+REBALANCE_PERIOD_MS = 500.0
 # A server that leaves the list while the store was away may come back for so
 # long after its return.
-RETURN_MS = 2_500.0
+RETURN_GRACE_MS = 2_500.0
 
 
 class Phase(enum.Enum):
@@ -288,7 +288,8 @@
       kept_at: When the last renewal of the coordinator's lease was sent, ms.
       now: ms.
     """
-    return now - kept_at <= LEASE_MS - GRANT_WAIT_MS - GRANT_MS
+    return (now - kept_at
+            <= COORDINATOR_LEASE_MS - POOL_TIMEOUT_MS - GRANT_TIMEOUT_MS)
 
 
 def change_fence(state: Coordination, renewal: Renewal,
@@ -302,7 +303,7 @@
       renewal: How the keys are granted.
       link: The connection that carried their fence last; None if none did.
     """
-    if state.next_fence < state.assignment.next_fence + FENCES_AHEAD:
+    if state.next_fence < state.assignment.next_fence + MAX_UNSAVED_FENCES:
         renewal.fence, renewal.link = state.next_fence, None
         state.next_fence += 1
     elif link is not None:
@@ -342,7 +343,7 @@
     the keys of the others unserved for 15 s. It grants them their keys first:
     who answers keeps them.
     """
-    if (now - state.since >= RETURN_MS or name in view.servers or
+    if (now - state.since >= RETURN_GRACE_MS or name in view.servers or
             name in view.ended):
         return False
     address = state.assignment.addresses.get(name)
@@ -357,7 +358,7 @@
     What an earlier coordinator granted ends for sure only with an answer under
     a higher fence: without it a release saves none of the 15 s of waiting.
     """
-    return now - state.since < RETURN_MS and any(
+    return now - state.since < RETURN_GRACE_MS and any(
         hold.server == item.server and not hold.certain and hold.fence <
         item.fence and keyranges.overlaps(hold, item.first, item.last)
         for hold in state.held)
--- a/lentilmoor/edge/renewals.py
+++ b/lentilmoor/edge/renewals.py
@@ -29,14 +29,14 @@
         pieces = _list_kept(item, state.moves)
         if pieces != [item]:
             # A part is on its way out: renewing it would undo the release.
-            renewal.due_at = now + ownership.AGAIN_MS
+            renewal.due_at = now + ownership.GRANT_RETRY_MS
             if renewal.answered:
                 state.sent += pieces
                 actions += [
                     _make_grant(state, server, piece, renewal, now)
                     for piece in pieces
                 ]
-                renewal.due_at = now + state.hold_ms * ownership.RENEW_PART
+                renewal.due_at = now + state.hold_ms * ownership.RENEW_FRACTION
             continue
         renewal.pending = True
         state.sent.append(item)
@@ -67,10 +67,10 @@
     if item.server in state.proven:
         return state.hold_ms
     until = holds.find_until(state.held, item.server, item.first, item.last)
-    left_ms = holds.find_longest(until, now + ownership.GRANT_MS)
+    left_ms = holds.find_longest(until, now + ownership.GRANT_TIMEOUT_MS)
     if left_ms <= 0:
         return state.hold_ms
-    return min(state.hold_ms, max(ownership.SHORTEST_HOLD_MS, left_ms))
+    return min(state.hold_ms, max(ownership.MIN_HOLD_MS, left_ms))
 
 
 def _list_kept(item: keyranges.KeyRange,
@@ -85,7 +85,7 @@
 
     They are sent no grants any more. One probe at a time is under way to each.
     """
-    if now - state.probed_at < ownership.PROBE_MS:
+    if now - state.probed_at < ownership.PROBE_INTERVAL_MS:
         return []
     state.probed_at = now
     silent = [
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -29,7 +29,7 @@
     if owned.handing_over and owned.lease is None:
         elections.resign(context, name, role, owned.handing_over)
         return
-    if now - owned.lease_sent_at > ownership.TENURE_MS:
+    if now - owned.lease_sent_at > ownership.MAX_OFFLINE_MS:
         elections.resign(context, name, role,
                          'the lease was not renewed for too long')
         return
@@ -178,8 +178,8 @@
                 grant: ownership.Grant) -> ownership.GrantResult:
     """Sends a grant unless it is out of date; run by a thread."""
     now, kept_at = context.clock.now(), context.owned.lease_sent_at
-    if (now - kept_at > ownership.TENURE_MS or
-            now - grant.planned_at > ownership.STALE_MS or
+    if (now - kept_at > ownership.MAX_OFFLINE_MS or
+            now - grant.planned_at > ownership.MAX_GRANT_AGE_MS or
             grant.link is None and not ownership.may_link(kept_at, now)):
         return ownership.GrantResult(ownership.Answer.NOT_SENT)
     return context.platform.servers.grant(grant)
--- a/lentilmoor/platform/links.py
+++ b/lentilmoor/platform/links.py
@@ -96,7 +96,7 @@
         if link is None:
             yield _Answer.UNLINKED
             return
-        wait_s = ownership.GRANT_WAIT_MS / clocks.MS_PER_S
+        wait_s = ownership.POOL_TIMEOUT_MS / clocks.MS_PER_S
         held = link.lock.acquire(timeout=wait_s)
         try:
             yield link if held else _Answer.NOT_SENT
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -60,7 +60,8 @@
         # so that it may lose one early.
         fields = {'From': 0, 'To': 0, 'fence': 0}
         return _judge_reply(
-            call_release(action.server.address, fields, ownership.GRANT_MS))
+            call_release(action.server.address, fields,
+                         ownership.GRANT_TIMEOUT_MS))
 
     return ports.Servers(grant, release, probe)
 
@@ -68,7 +69,7 @@
 def _grant_over(pool: links.Links, link: links.Link, action: ownership.Grant,
                 clock: clocks.Clock) -> ownership.GrantResult:
     """Sends a grant over a link, whose lock is held."""
-    until = clock.now() + ownership.GRANT_MS
+    until = clock.now() + ownership.GRANT_TIMEOUT_MS
     if link.http is not None and not link.http.is_connected:
         link.close()
     # Another grant may have closed or replaced it while this one waited.
--- a/tests/edgeworlds.py
+++ b/tests/edgeworlds.py
@@ -183,7 +183,7 @@
         self.saved = following
         for item in self.coordinators:
             if item.sees_store:
-                item.kept_at = self.now - ownership.LEASE_MS
+                item.kept_at = self.now - ownership.COORDINATOR_LEASE_MS
             item.sees_store = False
         self.coordinators.append(
             CoordinatorModel(
@@ -200,7 +200,7 @@
             item.kept_at = self.now
         if not item.up or item.state.lost:
             return
-        if self.now - item.kept_at > ownership.TENURE_MS:
+        if self.now - item.kept_at > ownership.MAX_OFFLINE_MS:
             return
         for action in coordination.plan(item.state, self._view(), self.now):
             self._carry_out(item, action)
@@ -255,7 +255,7 @@
                                       ownership.GrantResult(answer, link), sent,
                                       self.now)
 
-        if (self.now - action.planned_at > ownership.STALE_MS or
+        if (self.now - action.planned_at > ownership.MAX_GRANT_AGE_MS or
                 action.link is None and
                 not ownership.may_link(item.kept_at, self.now)):
             note(ownership.Answer.NOT_SENT)
@@ -287,19 +287,20 @@
         def answer_later():
             answer = ownership.Answer.UNKNOWN if model.cut else apply(self.now)
             if answer is ownership.Answer.UNKNOWN:
-                self._after(sent + ownership.GRANT_MS - self.now, give_up)
+                self._after(sent + ownership.GRANT_TIMEOUT_MS - self.now,
+                            give_up)
             else:
                 note(answer, link)
 
-        arrival_ms = self.random.uniform(2, ownership.GRANT_MS - 2)
+        arrival_ms = self.random.uniform(2, ownership.GRANT_TIMEOUT_MS - 2)
         if model.frozen or draw < self.late_share:
             arrived = self.now + arrival_ms
             self._after(self.random.uniform(2_000, 8_000),
                         lambda: apply(arrived))
-            self._after(ownership.GRANT_MS, give_up)
+            self._after(ownership.GRANT_TIMEOUT_MS, give_up)
         elif draw < self.late_share + self.lost_share:
             self._after(arrival_ms, lambda: apply(self.now))
-            self._after(ownership.GRANT_MS, give_up)
+            self._after(ownership.GRANT_TIMEOUT_MS, give_up)
         elif model.cut or draw > 1 - self.delay_share:
             self._after(arrival_ms, answer_later)
         else:
--- a/tests/orderworlds.py
+++ b/tests/orderworlds.py
@@ -163,7 +163,7 @@
     def is_active(self, now: float) -> bool:
         """Returns whether it still decides."""
         return (self.up and not self.state.lost and
-                now - self.kept_at <= ownership.TENURE_MS)
+                now - self.kept_at <= ownership.MAX_OFFLINE_MS)
 
 
 class World:
@@ -371,7 +371,7 @@
         if link is None and (cut or process is None):
             if cut:
                 self._add(
-                    Event(now + ownership.GRANT_MS,
+                    Event(now + ownership.GRANT_TIMEOUT_MS,
                           'end_grant',
                           index,
                           action=action,
@@ -388,7 +388,7 @@
     def _carry_grant(self, index, action, fate, link) -> None:
         """Has a grant go over a link."""
         now, address = self.now, action.server.address
-        end = now + ownership.GRANT_MS
+        end = now + ownership.GRANT_TIMEOUT_MS
         usual = fate in (Fate.ANSWERED, Fate.UNANSWERED)
         thaws_at = self.frozen.get(address, 0.0)
         message = Event(now, 'apply', index, link[1], action, now, link=link[0])
@@ -460,7 +460,7 @@
         if (self.is_cut(index, address) or
                 self.frozen.get(address, 0.0) > self.now):
             self._add(
-                Event(self.now + ownership.GRANT_MS,
+                Event(self.now + ownership.GRANT_TIMEOUT_MS,
                       'end_probe',
                       index,
                       action=action))
@@ -548,8 +548,8 @@
     def _do_send_again(self, event: Event) -> None:
         coordinator, action = self.coordinators[event.coordinator], event.action
         if (coordinator.up and
-                self.now - coordinator.kept_at <= ownership.TENURE_MS and
-                self.now - action.planned_at <= ownership.STALE_MS):
+                self.now - coordinator.kept_at <= ownership.MAX_OFFLINE_MS and
+                self.now - action.planned_at <= ownership.MAX_GRANT_AGE_MS):
             self._send_grant(event.coordinator, action, Fate.ANSWERED)
         else:
             self._note_grant(event.coordinator, action, _Answer.NOT_SENT, None,
@@ -679,7 +679,7 @@
         """
         before = self.coordinators[-1]
         before.sees_store, before.up = False, goes_on
-        before.kept_at = self.now - ownership.LEASE_MS
+        before.kept_at = self.now - ownership.COORDINATOR_LEASE_MS
         self.saved = coordination.make_next(self.saved)
         self.revision += 1
         state = coordination.begin(self.saved, self.revision, self.now, 'one.1')
@@ -811,8 +811,8 @@
         fails_at = at + state.hold_ms + 1.0
         times.append(fails_at)
         if fails_at <= now and name not in state.probed:
-            times.append(state.probed_at + ownership.PROBE_MS)
-    times.append(state.since + ownership.RETURN_MS)
+            times.append(state.probed_at + ownership.PROBE_INTERVAL_MS)
+    times.append(state.since + ownership.RETURN_GRACE_MS)
     if state.moves:
         times.append(state.save_at)
     return times
@@ -893,7 +893,7 @@
         tuple(item.server for item in state.assignment.ranges),
         tuple(state.assignment.addresses.items()),
         state.revision == revision,
-        max(-ownership.RETURN_MS, state.since - now),
+        max(-ownership.RETURN_GRACE_MS, state.since - now),
         tuple((item.server, round(item.until - now, 1), item.certain)
               for item in held),
         tuple((_key_link(coordinator, item, row),
@@ -910,7 +910,7 @@
         frozenset(state.unreleased),
         tuple((name, max(-state.hold_ms - 1.0, at - now))
               for name, at in state.answered.items()),
-        max(-ownership.PROBE_MS, state.probed_at - now),
+        max(-ownership.PROBE_INTERVAL_MS, state.probed_at - now),
         frozenset(state.probed),
         tuple(state.loose),
     )
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -124,7 +124,8 @@
             world = edgeworlds.World(seed)
             world.run(3_000 + 150 * seed)
             world.servers['s2'].frozen = True
-            world.run(ownership.HOLD_MS * (1.03 + ownership.RENEW_PART) + 700)
+            world.run(ownership.HOLD_MS * (1.03 + ownership.RENEW_FRACTION) +
+                      700)
             self.assertTrue(_covered(world), seed)
             world.servers['s2'].frozen = False
             world.run(9_000)
@@ -277,7 +278,7 @@
         world.run(3_000)
         world.servers['s2'].listed = False
         self._take_over(world)
-        world.run(ownership.RETURN_MS + 1_000)
+        world.run(ownership.RETURN_GRACE_MS + 1_000)
         self.assertFalse(any(
             item.server == 's2' for item in world.saved.ranges))
         self.assertTrue(_covered(world))
@@ -461,7 +462,7 @@
             with self.subTest(seed=seed):
                 world = _play(seed)
                 world.late_share = world.lost_share = world.queue_ms = 0.0
-                world.run(ownership.TENURE_MS + ownership.HOLD_MS * 1.03 +
+                world.run(ownership.MAX_OFFLINE_MS + ownership.HOLD_MS * 1.03 +
                           3_000)
                 # A key that moves has no owner for the time of a release.
                 self.assertLessEqual(_find_longest_gap(world, 2_000.0), 200.0)
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -413,7 +413,7 @@
         self.assertIsNone(forwarder.snapshot.servers['x']['i-1'].leaves_at)
         # Nobody has lost the store now: one that is missing has left.
         actor.tell(control.StoreSeen(dataclasses.replace(missing, revision=13)))
-        time.sleep((ownership.RETURN_MS + 500.0) / clocks.MS_PER_S)
+        time.sleep((ownership.RETURN_GRACE_MS + 500.0) / clocks.MS_PER_S)
         actor.ask(control.Tick())
         self.assertNotIn('x', forwarder.snapshot.servers)
 
--- a/tests/test_edge_orders.py
+++ b/tests/test_edge_orders.py
@@ -51,7 +51,8 @@
 _SERVED_MS = 5_000.0
 # A successor that knows nothing of before also waits for its predecessor, and
 # for the last grant that this one may have had wait for a connection.
-_SUCCEEDED_MS = ownership.TENURE_MS + ownership.GRANT_WAIT_MS + _SERVED_MS
+_SUCCEEDED_MS = (ownership.MAX_OFFLINE_MS + ownership.POOL_TIMEOUT_MS +
+                 _SERVED_MS)
 
 # A successor finds a server silent after a hold; the first coordinator still
 # goes on then. More of it only makes more states.
@@ -60,8 +61,8 @@
 
 @functools.cache
 def _explore(scope: orders.Scope) -> orders.Report:
-    tenure_ms = _TENURE_MS if scope is _APART else ownership.TENURE_MS
-    with mock.patch.object(ownership, 'TENURE_MS', tenure_ms):
+    tenure_ms = _TENURE_MS if scope is _APART else ownership.MAX_OFFLINE_MS
+    with mock.patch.object(ownership, 'MAX_OFFLINE_MS', tenure_ms):
         return orders.explore(scope)
 
 
--- a/tests/test_edge_restore.py
+++ b/tests/test_edge_restore.py
@@ -18,7 +18,7 @@
 _SEEDS = 30
 _STEPS = 8
 # A lease of the one before has run out.
-_ELECTION_MS = ownership.LEASE_MS + 200.0
+_ELECTION_MS = ownership.COORDINATOR_LEASE_MS + 200.0
 
 
 def _drain(world: restoreworlds.World) -> None:
--- a/tests/test_platform_grants.py
+++ b/tests/test_platform_grants.py
@@ -115,7 +115,7 @@
     def _send(self, action: ownership.Grant) -> None:
         sent = self.clock.now()
         granted = ownership.GrantResult(_Answer.NOT_SENT)
-        if sent - action.planned_at <= ownership.STALE_MS:
+        if sent - action.planned_at <= ownership.MAX_GRANT_AGE_MS:
             granted = self.calls.grant(action)
         self._returned.put((action, granted, sent))
 
