--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -136,24 +136,25 @@
     def _grant(self, grant: ownership.Grant) -> ownership.GrantResult:
         if grant.server.id in self.silent:
             self._took_ms = SILENT_MS
-            return ownership.GrantResult(ownership.Answer.UNKNOWN, 1)
+            return ownership.GrantResult(ownership.CallOutcome.UNKNOWN, 1)
         first, last = grant.item.first, grant.item.last
         self.granted[first:last + 1] = [(grant.server.id, self._time.at)
                                        ] * (last + 1 - first)
-        return ownership.GrantResult(ownership.Answer.DONE, 1)
+        return ownership.GrantResult(ownership.CallOutcome.DONE, 1)
 
-    def _release(self,
-                 release: ownership.Release) -> tuple[ownership.Answer, str]:
+    def _release(
+            self,
+            release: ownership.Release) -> tuple[ownership.CallOutcome, str]:
         if release.server.id in self.silent:
             self._took_ms = SILENT_RELEASE_MS
-            return ownership.Answer.UNKNOWN, ''
-        return ownership.Answer.DONE, 'token'
+            return ownership.CallOutcome.UNKNOWN, ''
+        return ownership.CallOutcome.DONE, 'token'
 
-    def _probe(self, probe: ownership.Probe) -> ownership.Answer:
+    def _probe(self, probe: ownership.Probe) -> ownership.CallOutcome:
         if probe.server.id in self.silent:
             self._took_ms = SILENT_MS
-            return ownership.Answer.UNKNOWN
-        return ownership.Answer.DONE
+            return ownership.CallOutcome.UNKNOWN
+        return ownership.CallOutcome.DONE
 
     def _begin_calls(self, pool: '_Pool') -> None:
         now = self._time.at
--- a/benchmarks/edge_model.py
+++ b/benchmarks/edge_model.py
@@ -145,7 +145,7 @@
             name: placement.ServerState() for name in names
         } for _ in range(shape.entries)]
         self.inflight = [dict.fromkeys(names, 0) for _ in range(shape.entries)]
-        self.ranges = keyranges.divide_evenly(names, {}, 1)
+        self.ranges = keyranges.divide_by_weight(names, {}, 1)
         self.table = loads.LoadTable()
         self.rows = [[] for _ in range(shape.entries)]
         self.moved = 0
--- a/benchmarks/edge_slopes.py
+++ b/benchmarks/edge_slopes.py
@@ -52,26 +52,26 @@
 def measure_plan(servers: int) -> float:
     """Returns the time of a coordinator's step when nothing is due, us."""
     names = [f's{number}' for number in range(servers)]
-    view = ownership.View(
+    view = ownership.ServiceView(
         {
             name: tables.Server(name, 'x', f'{name}:1', 'd', 2, False, 0.0, 0.0)
             for name in names
         }, frozenset(), {}, keyloads.KeyLoads({}), {})
-    ranges = keyranges.divide_evenly(names, {}, 1)
+    ranges = keyranges.divide_by_weight(names, {}, 1)
     state = coordination.begin(keyranges.Assignment('x', 1, 2, ranges), 1, 0.0,
                                None)
     state.balanced_at = 1.0
     for item in coordination.plan(state, view, 1.0):
-        coordination.note_granted(state, item,
-                                  ownership.GrantResult(ownership.Answer.DONE),
-                                  1.0, 1.0)
+        coordination.note_granted(
+            state, item, ownership.GrantResult(ownership.CallOutcome.DONE), 1.0,
+            1.0)
     return _time(lambda: coordination.plan(state, view, 2.0))
 
 
 def measure_assignment(servers: int) -> int:
     """Returns the bytes of an assignment with three ranges a server."""
     names = [f'i-{number:010}' for number in range(servers * 3)]
-    ranges = keyranges.divide_evenly(names, {}, 1)
+    ranges = keyranges.divide_by_weight(names, {}, 1)
     assignment = keyranges.Assignment(
         'x', 1, 2, ranges, dict.fromkeys(names[:servers], 61.5),
         dict.fromkeys(names[:servers], '10.10.10.10:8080'))
--- a/lentilmoor/edge/coordination.py
+++ b/lentilmoor/edge/coordination.py
@@ -43,7 +43,7 @@
         service,
         1,
         fence + 1,
-        keyranges.divide_evenly(ready, {}, fence),
+        keyranges.divide_by_weight(ready, {}, fence),
         addresses={name: servers[name].address for name in ready},
         author=author,
         era=era)
@@ -62,7 +62,7 @@
     # Its author may have used fences that were not saved.
     fence = max(before.next_fence + ownership.MAX_UNSAVED_FENCES,
                 keyranges.find_first_fence(era))
-    ranges = keyranges.merge(
+    ranges = keyranges.merge_adjacent(
         structs.replace(item, fence=fence) for item in before.ranges)
     return dataclasses.replace(before,
                                term=before.term + 1,
@@ -142,7 +142,7 @@
         state.predecessor = predecessor
         latest = (now + ownership.MAX_OFFLINE_MS + ownership.POOL_TIMEOUT_MS +
                   ownership.GRANT_TIMEOUT_MS)
-        until = holds.find_end(latest, state.hold_ms)
+        until = holds.compute_expiry(latest, state.hold_ms)
         state.held = [
             # Under the fences of earlier coordinators, which are lower.
             holds.Hold(item.first, item.last, item.server, item.fence - 1,
@@ -160,7 +160,7 @@
     """
     latest = (now + ownership.COORDINATOR_LEASE_MS + ownership.POOL_TIMEOUT_MS +
               ownership.GRANT_TIMEOUT_MS)
-    until = holds.find_end(latest, state.hold_ms)
+    until = holds.compute_expiry(latest, state.hold_ms)
     state.since = until
     state.held.append(
         holds.Hold(0, tables.KEYS - 1, _UNKNOWN_SERVER, 0, until, False))
@@ -194,21 +194,22 @@
     if not state.predecessor:
         return
     state.predecessor = ''
-    latest = holds.find_end(now, state.hold_ms)
+    latest = holds.compute_expiry(now, state.hold_ms)
     state.held = [
         dataclasses.replace(item, until=min(item.until, latest))
         for item in state.held
     ]
 
 
-def plan(state: ownership.Coordination, view: ownership.View,
+def plan(state: ownership.Coordination, view: ownership.ServiceView,
          now: float) -> list[ownership.Action]:
     """Returns what is to be done now."""
-    state.held = holds.expire(state.held, now)
+    state.held = holds.drop_expired(state.held, now)
     for server in view.ended:
         replacement = ownership.find_replacement(state, view, server)
         if replacement is not None:
-            state.held = holds.hand_on(state.held, server, replacement)
+            state.held = holds.transfer_to_replacement(state.held, server,
+                                                       replacement)
     for server in view.servers:
         state.answered.setdefault(server, now)
     moves.plan_moves(state, view, now)
@@ -234,14 +235,14 @@
     """
     item, answer = grant.item, granted.answer
     state.sent.remove(item)
-    if answer is ownership.Answer.DONE:
+    if answer is ownership.CallOutcome.DONE:
         _note_answering(state, item.server, sent_at)
     else:
         state.proven.discard(item.server)
-    if answer in (ownership.Answer.DONE, ownership.Answer.UNKNOWN):
-        _note_hold(state, grant, answer is ownership.Answer.DONE, now)
+    if answer in (ownership.CallOutcome.DONE, ownership.CallOutcome.UNKNOWN):
+        _note_hold(state, grant, answer is ownership.CallOutcome.DONE, now)
     renewal = ownership.find_renewal(state, item)
-    if answer is ownership.Answer.REFUSED:
+    if answer is ownership.CallOutcome.REFUSED:
         # What was merged or moved since has a higher fence of our own.
         state.lost |= (item in state.assignment.ranges and
                        (renewal is None or renewal.fence == grant.fence))
@@ -253,7 +254,7 @@
                answered: bool, now: float) -> None:
     """Notes what a server may hold by a grant, which may just have arrived."""
     item = grant.item
-    until = holds.find_end(now, grant.hold_ms)
+    until = holds.compute_expiry(now, grant.hold_ms)
     state.held = holds.add(
         state.held,
         holds.Hold(item.first, item.last, item.server, grant.fence, until,
@@ -267,18 +268,18 @@
     whole = grant.item in state.renewals
     if whole:
         renewal.pending = False
-    if (granted.answer is ownership.Answer.REFUSED or
+    if (granted.answer is ownership.CallOutcome.REFUSED or
             renewal.fence != grant.fence):
         return
-    if granted.answer is ownership.Answer.DONE:
+    if granted.answer is ownership.CallOutcome.DONE:
         _note_renewed(state, renewal, grant, granted.link)
         if whole:
             renewal.due_at = sent_at + grant.hold_ms * ownership.RENEW_FRACTION
         return
-    if granted.answer is not ownership.Answer.NOT_SENT:
-        ownership.change_fence(state, renewal, granted.link)
+    if granted.answer is not ownership.CallOutcome.NOT_SENT:
+        ownership.replace_fence(state, renewal, granted.link)
     # A new fence needs no wait if the old one was not sent.
-    at_once = (granted.answer is ownership.Answer.UNLINKED and
+    at_once = (granted.answer is ownership.CallOutcome.UNLINKED and
                renewal.link is None)
     renewal.due_at = now if at_once else now + ownership.GRANT_RETRY_MS
 
@@ -292,11 +293,12 @@
         renewal.link = link
     else:
         # Another part of the range went over another connection.
-        ownership.change_fence(state, renewal, link)
+        ownership.replace_fence(state, renewal, link)
 
 
 def note_released(state: ownership.Coordination, release: ownership.Release,
-                  answer: ownership.Answer, token: str, now: float) -> None:
+                  answer: ownership.CallOutcome, token: str,
+                  now: float) -> None:
     """Takes in what came of a release."""
     _note_answer(state, release.item.server, answer, now)
     for move in state.moves:
@@ -307,23 +309,23 @@
                 transfer.last != release.item.last):
             continue
         move.phase = ownership.Phase.WAIT
-        if answer is ownership.Answer.DONE:
+        if answer is ownership.CallOutcome.DONE:
             move.token = token
             state.held = holds.release(state.held, transfer.source,
                                        transfer.first, transfer.last)
 
 
 def note_probed(state: ownership.Coordination, probe: ownership.Probe,
-                answer: ownership.Answer, now: float) -> None:
+                answer: ownership.CallOutcome, now: float) -> None:
     """Takes in what came of a probe."""
     state.probed.discard(probe.server.id)
     _note_answer(state, probe.server.id, answer, now)
 
 
 def _note_answer(state: ownership.Coordination, name: str,
-                 answer: ownership.Answer, now: float) -> None:
+                 answer: ownership.CallOutcome, now: float) -> None:
     """Takes in whether a server answers a release or a probe."""
-    if answer is ownership.Answer.DONE:
+    if answer is ownership.CallOutcome.DONE:
         _note_answering(state, name, now)
     else:
         state.proven.discard(name)
@@ -396,11 +398,11 @@
             kept = dataclasses.replace(renewal, pending=False)
             if renewal.pending:
                 # The grant under way may have used the fence by now.
-                ownership.change_fence(state, kept, renewal.link)
+                ownership.replace_fence(state, kept, renewal.link)
             return kept
     renewal = ownership.Renewal(item.fence)
     if _has_higher_fence(state, item, before):
-        ownership.change_fence(state, renewal, None)
+        ownership.replace_fence(state, renewal, None)
     return renewal
 
 
--- a/lentilmoor/edge/holds.py
+++ b/lentilmoor/edge/holds.py
@@ -12,10 +12,10 @@
 from lentilmoor.edge import keyranges
 
 # Clocks of servers that count grants down may be 2% slow: 1 / 0.98.
-CLOCK_FACTOR = 1.0205
+CLOCK_DRIFT_FACTOR = 1.0205
 # Delivery of a grant and rounding of clocks, ms; the longest one-way delay
 # between failure domains of one region is a few ms.
-MARGIN_MS = 150.0
+DELIVERY_MARGIN_MS = 150.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -39,18 +39,18 @@
     certain: bool
 
 
-def find_end(arrived_by: float, hold_ms: float) -> float:
+def compute_expiry(arrived_by: float, hold_ms: float) -> float:
     """Returns when a grant that arrived by a time has surely ended, ms."""
-    return arrived_by + hold_ms * CLOCK_FACTOR + MARGIN_MS
+    return arrived_by + hold_ms * CLOCK_DRIFT_FACTOR + DELIVERY_MARGIN_MS
 
 
-def find_longest(until: float, arrived_by: float) -> float:
+def compute_longest_hold(until: float, arrived_by: float) -> float:
     """Returns the longest hold that has surely ended by a time, ms."""
-    return (until - MARGIN_MS - arrived_by) / CLOCK_FACTOR
+    return (until - DELIVERY_MARGIN_MS - arrived_by) / CLOCK_DRIFT_FACTOR
 
 
-def find_until(holds: Iterable[Hold], server: str, first: int,
-               last: int) -> float:
+def find_expiry(holds: Iterable[Hold], server: str, first: int,
+                last: int) -> float:
     """Returns until when a server may hold any of the keys; 0 if it can't."""
     return max(
         (item.until
@@ -59,8 +59,8 @@
         default=0.0)
 
 
-def find_others_until(holds: Iterable[Hold], server: str, first: int,
-                      last: int) -> float:
+def find_expiry_elsewhere(holds: Iterable[Hold], server: str, first: int,
+                          last: int) -> float:
     """Returns until when any server but one may hold any of the keys."""
     return max(
         (item.until
@@ -103,7 +103,8 @@
     return kept
 
 
-def hand_on(holds: Iterable[Hold], server: str, replacement: str) -> list[Hold]:
+def transfer_to_replacement(holds: Iterable[Hold], server: str,
+                            replacement: str) -> list[Hold]:
     """Takes what a process may hold for held by the one in its place.
 
     A grant names an address: it reaches whoever listens there when it comes.
@@ -119,7 +120,7 @@
     ]
 
 
-def expire(holds: Iterable[Hold], now: float) -> list[Hold]:
+def drop_expired(holds: Iterable[Hold], now: float) -> list[Hold]:
     """Leaves out what has ended."""
     return [item for item in holds if item.until > now]
 
--- a/lentilmoor/edge/keyranges.py
+++ b/lentilmoor/edge/keyranges.py
@@ -111,8 +111,8 @@
     return assignment.era, assignment.term, assignment.next_fence
 
 
-def divide_evenly(servers: Iterable[str], weights: dict[str, float],
-                  fence: int) -> tuple[KeyRange, ...]:
+def divide_by_weight(servers: Iterable[str], weights: dict[str, float],
+                     fence: int) -> tuple[KeyRange, ...]:
     """Divides all keys into one range for each server, by weight."""
     names = sorted(servers)
     total = sum(weights.get(name, 1.0) for name in names)
@@ -134,10 +134,10 @@
     kept = []
     for item in ranges:
         kept.extend(_cut(item, new))
-    return merge(sorted(kept + new, key=lambda item: item.first))
+    return merge_adjacent(sorted(kept + new, key=lambda item: item.first))
 
 
-def merge(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
+def merge_adjacent(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
     """Joins neighbours with the same owner and fence."""
     merged: list[KeyRange] = []
     for item in ranges:
@@ -150,7 +150,7 @@
     return tuple(merged)
 
 
-def join_neighbours(
+def merge_under_new_fences(
         ranges: Iterable[KeyRange], fence: int,
         kept: Iterable[tuple[int, int]]) -> tuple[tuple[KeyRange, ...], int]:
     """Joins neighbours with the same owner under new fences.
--- a/lentilmoor/edge/moves.py
+++ b/lentilmoor/edge/moves.py
@@ -16,7 +16,7 @@
 from lentilmoor.edge import rebalancing
 
 
-def plan_moves(state: ownership.Coordination, view: ownership.View,
+def plan_moves(state: ownership.Coordination, view: ownership.ServiceView,
                now: float) -> None:
     """Adds what is to move: keys of servers that leave, then what evens out."""
     if state.saving:
@@ -24,7 +24,8 @@
     capacities = {
         name: view.capacities.get(name, 1.0)
         for name, server in view.servers.items()
-        if not server.draining and not ownership.is_failing(state, name, now)
+        if not server.draining and
+        not ownership.has_timed_out(state, name, now)
     }
     if not capacities:
         return
@@ -43,10 +44,10 @@
         _plan_balance(state, view, capacities, now)
 
 
-def _plan_departures(state: ownership.Coordination, view: ownership.View,
+def _plan_departures(state: ownership.Coordination, view: ownership.ServiceView,
                      capacities: Mapping[str, float], now: float) -> None:
     """Adds the keys of servers that leave or don't answer."""
-    owned = ownership.list_unmoved(state)
+    owned = ownership.list_unmoved_ranges(state)
     for item in owned:
         if item.server in capacities:
             continue
@@ -54,10 +55,10 @@
             continue
         if ownership.may_return(state, view, item.server, now):
             continue
-        if item.server in view.servers and ownership.is_unasked(
+        if item.server in view.servers and ownership.awaits_first_answer(
                 state, item, now):
             continue
-        release = item.server not in view.ended and not ownership.is_failing(
+        release = item.server not in view.ended and not ownership.has_timed_out(
             state, item.server, now)
         phase = ownership.Phase.RELEASE if release else ownership.Phase.WAIT
         replacement = ownership.find_replacement(state, view, item.server)
@@ -74,10 +75,10 @@
             state.moves.append(ownership.Move(transfer, phase, now))
 
 
-def _plan_balance(state: ownership.Coordination, view: ownership.View,
+def _plan_balance(state: ownership.Coordination, view: ownership.ServiceView,
                   capacities: Mapping[str, float], now: float) -> None:
     """Adds what evens out load, or joins scraps if it is even."""
-    owned = ownership.list_unmoved(state)
+    owned = ownership.list_unmoved_ranges(state)
     transfers = rebalancing.plan_transfers(owned, view.loads, capacities)
     if not transfers:
         transfers = rebalancing.plan_joins(owned, view.loads, capacities)
@@ -89,14 +90,14 @@
                 ownership.Move(transfer, ownership.Phase.RELEASE, now))
 
 
-def _is_back(state: ownership.Coordination, view: ownership.View,
+def _is_back(state: ownership.Coordination, view: ownership.ServiceView,
              move: ownership.Move, now: float) -> bool:
     """Returns whether a server that lost keys may keep them after all."""
     source = move.transfer.source
     server = view.servers.get(source)
     return (server is not None and not server.draining and
             source not in view.ended and
-            not ownership.is_failing(state, source, now) and
+            not ownership.has_timed_out(state, source, now) and
             state.answered[source] > move.began_at)
 
 
@@ -108,18 +109,18 @@
                for item in state.held)
 
 
-def _must_move(state: ownership.Coordination, view: ownership.View,
+def _must_move(state: ownership.Coordination, view: ownership.ServiceView,
                item: keyranges.KeyRange, now: float) -> bool:
     server = view.servers.get(item.server)
     if server is None or server.draining or item.server in view.ended:
         return True
-    if not ownership.is_failing(state, item.server, now):
+    if not ownership.has_timed_out(state, item.server, now):
         return False
-    return holds.find_until(state.held, item.server, item.first,
-                            item.last) <= now
+    return holds.find_expiry(state.held, item.server, item.first,
+                             item.last) <= now
 
 
-def plan_releases(state: ownership.Coordination, view: ownership.View,
+def plan_releases(state: ownership.Coordination, view: ownership.ServiceView,
                   now: float) -> list[ownership.Action]:
     """Returns releases that are due; moves that need none go on."""
     actions: list[ownership.Action] = []
@@ -136,7 +137,7 @@
         server = ownership.find_server(state, view, transfer.source)
         pieces = keyranges.intersect(state.assignment.ranges, transfer.first,
                                      transfer.last)
-        if ownership.is_under_way(state, transfer):
+        if ownership.has_grant_in_flight(state, transfer):
             continue  # A grant that arrives after the release would undo it.
         if transfer.source in state.unreleased:
             move.phase = ownership.Phase.WAIT
@@ -146,8 +147,8 @@
         if server is None or len(pieces) != 1:
             move.phase = ownership.Phase.WAIT
             continue
-        if not holds.find_until(state.held, transfer.source, transfer.first,
-                                transfer.last) > now:
+        if not holds.find_expiry(state.held, transfer.source, transfer.first,
+                                 transfer.last) > now:
             move.phase = ownership.Phase.WAIT
             continue
         move.phase = ownership.Phase.RELEASING
@@ -175,7 +176,7 @@
             if move.phase is ownership.Phase.WAIT]
 
 
-def plan_save(state: ownership.Coordination, view: ownership.View,
+def plan_save(state: ownership.Coordination, view: ownership.ServiceView,
               now: float) -> list[ownership.Action]:
     """Returns the save of what may change hands now, or of many new fences."""
     if state.saving or now < state.save_at:
@@ -183,13 +184,13 @@
     state.moves = [move for move in state.moves if _is_sound(state, move)]
     waiting = [
         move for move in state.moves if move.phase is ownership.Phase.WAIT and
-        not ownership.is_under_way(state, move.transfer)
+        not ownership.has_grant_in_flight(state, move.transfer)
     ]
     _redirect(state, view, waiting)
     ready = [
-        move for move in waiting
-        if holds.find_others_until(state.held, move.transfer.target, move.
-                                   transfer.first, move.transfer.last) <= now
+        move for move in waiting if holds.find_expiry_elsewhere(
+            state.held, move.transfer.target, move.transfer.first,
+            move.transfer.last) <= now
     ]
     for move in ready:
         move.phase = ownership.Phase.SAVING
@@ -209,7 +210,7 @@
     ]
     state.saving = True
     ranges = keyranges.reassign(assignment.ranges, changed)
-    ranges, state.next_fence = keyranges.join_neighbours(
+    ranges, state.next_fence = keyranges.merge_under_new_fences(
         ranges, state.next_fence + len(changed),
         [(item.first, item.last) for item in changed])
     following = dataclasses.replace(assignment,
@@ -225,7 +226,7 @@
 def _take_loose(state: ownership.Coordination) -> list[tuple[int, int, str]]:
     """Returns ranges whose owners are to get them under a higher fence."""
     loose, state.loose = state.loose, []
-    unmoved = ownership.list_unmoved(state)
+    unmoved = ownership.list_unmoved_ranges(state)
     return [(item.first, item.last, item.server)
             for item in unmoved
             if item.server in state.proven and any(
@@ -234,7 +235,7 @@
                 for transfer in loose)]
 
 
-def _list_addresses(state: ownership.Coordination, view: ownership.View,
+def _list_addresses(state: ownership.Coordination, view: ownership.ServiceView,
                     ranges: tuple[keyranges.KeyRange, ...]) -> dict[str, str]:
     addresses = {}
     for item in ranges:
@@ -252,7 +253,7 @@
     return all(piece.server == transfer.source for piece in pieces)
 
 
-def _redirect(state: ownership.Coordination, view: ownership.View,
+def _redirect(state: ownership.Coordination, view: ownership.ServiceView,
               ready: list[ownership.Move]) -> None:
     """Gives keys another target if theirs has left meanwhile."""
     staying = [
--- a/lentilmoor/edge/ownership.py
+++ b/lentilmoor/edge/ownership.py
@@ -115,7 +115,7 @@
 Action = Grant | Release | Save | Probe
 
 
-class Answer(enum.Enum):
+class CallOutcome(enum.Enum):
     """What came of a grant, a release or a probe.
 
     DONE: carried out.
@@ -143,7 +143,7 @@
       link: Number of the connection that carried it; None if none did.
     """
 
-    answer: Answer
+    answer: CallOutcome
     link: int | None = None
 
 
@@ -256,7 +256,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class ServiceView:
     """What the coordinator sees of the servers of its service.
 
     Attributes:
@@ -276,7 +276,7 @@
     works: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
 
-def may_link(kept_at: float, now: float) -> bool:
+def may_open_connection(kept_at: float, now: float) -> bool:
     """Returns whether a grant may go over a new connection.
 
     A process that has just started refuses no fence yet, so it would take a
@@ -292,8 +292,8 @@
             <= COORDINATOR_LEASE_MS - POOL_TIMEOUT_MS - GRANT_TIMEOUT_MS)
 
 
-def change_fence(state: Coordination, renewal: Renewal,
-                 link: int | None) -> None:
+def replace_fence(state: Coordination, renewal: Renewal,
+                  link: int | None) -> None:
     """Has keys granted under a fence that no connection has carried.
 
     If none is left they keep theirs, bound to the connection that carried it.
@@ -323,7 +323,8 @@
     return state.renewals.get(assigned)
 
 
-def find_replacement(state: Coordination, view: View, name: str) -> str | None:
+def find_replacement(state: Coordination, view: ServiceView,
+                     name: str) -> str | None:
     """Returns the server at the address of one that has ended, if there is one.
 
     What was granted between its start and the news of it reached this one.
@@ -335,7 +336,8 @@
                  if server.address == address and server.id != name), None)
 
 
-def may_return(state: Coordination, view: View, name: str, now: float) -> bool:
+def may_return(state: Coordination, view: ServiceView, name: str,
+               now: float) -> bool:
     """Returns whether an owner may be up although it isn't listed.
 
     Entries of servers run out while the store is away, and are back soon after
@@ -351,8 +353,8 @@
         server.address != address for server in view.servers.values())
 
 
-def is_unasked(state: Coordination, item: keyranges.KeyRange,
-               now: float) -> bool:
+def awaits_first_answer(state: Coordination, item: keyranges.KeyRange,
+                        now: float) -> bool:
     """Returns whether an owner is yet to answer this coordinator.
 
     What an earlier coordinator granted ends for sure only with an answer under
@@ -364,18 +366,18 @@
         for hold in state.held)
 
 
-def is_failing(state: Coordination, name: str, now: float) -> bool:
+def has_timed_out(state: Coordination, name: str, now: float) -> bool:
     """Returns whether a server has not answered for as long as a hold."""
     return now - state.answered.get(name, now) > state.hold_ms
 
 
-def list_unmoved(state: Coordination) -> list[keyranges.KeyRange]:
+def list_unmoved_ranges(state: Coordination) -> list[keyranges.KeyRange]:
     """Returns the assignment less what is on its way already."""
-    return leave_out(state.assignment.ranges, state.moves)
+    return subtract_moves(state.assignment.ranges, state.moves)
 
 
-def leave_out(ranges: Iterable[keyranges.KeyRange],
-              moves: Iterable[Move]) -> list[keyranges.KeyRange]:
+def subtract_moves(ranges: Iterable[keyranges.KeyRange],
+                   moves: Iterable[Move]) -> list[keyranges.KeyRange]:
     """Returns ranges less the keys of moves."""
     marks = [
         keyranges.KeyRange(move.transfer.first, move.transfer.last, '', -1)
@@ -385,14 +387,15 @@
     return [item for item in laid if item.server]
 
 
-def is_under_way(state: Coordination, transfer: rebalancing.Transfer) -> bool:
+def has_grant_in_flight(state: Coordination,
+                        transfer: rebalancing.Transfer) -> bool:
     """Returns whether a grant of keys that are to move may still arrive."""
     return any(item.server == transfer.source and
                keyranges.overlaps(item, transfer.first, transfer.last)
                for item in state.sent)
 
 
-def find_server(state: Coordination, view: View,
+def find_server(state: Coordination, view: ServiceView,
                 name: str) -> tables.Server | None:
     """Returns a server as it is listed, or as it was last known."""
     server = view.servers.get(name) or view.left.get(name)
--- a/lentilmoor/edge/ports.py
+++ b/lentilmoor/edge/ports.py
@@ -257,8 +257,8 @@
     """
 
     grant: Callable[[ownership.Grant], ownership.GrantResult]
-    release: Callable[[ownership.Release], tuple[ownership.Answer, str]]
-    probe: Callable[[ownership.Probe], ownership.Answer]
+    release: Callable[[ownership.Release], tuple[ownership.CallOutcome, str]]
+    probe: Callable[[ownership.Probe], ownership.CallOutcome]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/lentilmoor/edge/renewals.py
+++ b/lentilmoor/edge/renewals.py
@@ -6,7 +6,7 @@
 from lentilmoor.edge import tables
 
 
-def plan_grants(state: ownership.Coordination, view: ownership.View,
+def plan_grants(state: ownership.Coordination, view: ownership.ServiceView,
                 now: float) -> list[ownership.Action]:
     """Returns grants that are due."""
     actions: list[ownership.Action] = []
@@ -17,7 +17,7 @@
             server = ownership.find_server(state, view, item.server)
         if server is None or item.server in view.ended:
             continue
-        if ownership.is_failing(state, item.server, now):
+        if ownership.has_timed_out(state, item.server, now):
             continue  # It is probed, and its keys are about to move.
         renewal = state.renewals.setdefault(item, ownership.Renewal(item.fence))
         if renewal.pending or renewal.due_at > now:
@@ -66,8 +66,9 @@
     """
     if item.server in state.proven:
         return state.hold_ms
-    until = holds.find_until(state.held, item.server, item.first, item.last)
-    left_ms = holds.find_longest(until, now + ownership.GRANT_TIMEOUT_MS)
+    until = holds.find_expiry(state.held, item.server, item.first, item.last)
+    left_ms = holds.compute_longest_hold(until,
+                                         now + ownership.GRANT_TIMEOUT_MS)
     if left_ms <= 0:
         return state.hold_ms
     return min(state.hold_ms, max(ownership.MIN_HOLD_MS, left_ms))
@@ -76,10 +77,10 @@
 def _list_kept(item: keyranges.KeyRange,
                moves: list[ownership.Move]) -> list[keyranges.KeyRange]:
     leaving = [move for move in moves if move.transfer.source == item.server]
-    return ownership.leave_out([item], leaving) if leaving else [item]
+    return ownership.subtract_moves([item], leaving) if leaving else [item]
 
 
-def plan_probes(state: ownership.Coordination, view: ownership.View,
+def plan_probes(state: ownership.Coordination, view: ownership.ServiceView,
                 now: float) -> list[ownership.Action]:
     """Calls servers that are to lose their keys as they didn't answer.
 
@@ -89,8 +90,8 @@
         return []
     state.probed_at = now
     silent = [
-        server for name, server in view.servers.items()
-        if name not in state.probed and ownership.is_failing(state, name, now)
+        server for name, server in view.servers.items() if
+        name not in state.probed and ownership.has_timed_out(state, name, now)
     ]
     state.probed.update(server.id for server in silent)
     return [
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -41,7 +41,7 @@
         for item in owned.servers.values()
         if item.service == name and item.id not in owned.ended
     }
-    view = ownership.View(
+    view = ownership.ServiceView(
         servers, frozenset(owned.ended), owned.left,
         role.measured.key_loads(now),
         role.measured.capacities(
@@ -59,7 +59,7 @@
 
 
 def _log_moves(context: beliefs.Context, state: ownership.Coordination,
-               view: ownership.View, count: int) -> None:
+               view: ownership.ServiceView, count: int) -> None:
     found = rebalancing.measure_evenness(state.assignment.ranges, view.loads,
                                          view.capacities)
     context.logger.info('moves_planned',
@@ -123,7 +123,7 @@
     if unlinked and owned.handing_over:
         # It could arrive after a successor has taken the role.
         _granted(context, state, grant,
-                 ownership.GrantResult(ownership.Answer.NOT_SENT),
+                 ownership.GrantResult(ownership.CallOutcome.NOT_SENT),
                  context.clock.now())
         return
     owned.unlinked_grants += unlinked
@@ -141,8 +141,8 @@
              sent_at: float) -> None:
     now = context.clock.now()
     coordination.note_granted(state, grant, granted, sent_at, now)
-    if granted.answer is ownership.Answer.UNKNOWN:
-        in_force_ms = holds.find_end(now, grant.hold_ms) - now
+    if granted.answer is ownership.CallOutcome.UNKNOWN:
+        in_force_ms = holds.compute_expiry(now, grant.hold_ms) - now
         context.logger.warning('grant_unanswered',
                                service=grant.service,
                                server=grant.server.id,
@@ -161,7 +161,7 @@
 
 
 def _released(context: beliefs.Context, state: ownership.Coordination,
-              release: ownership.Release, answer: ownership.Answer,
+              release: ownership.Release, answer: ownership.CallOutcome,
               token: str) -> None:
     coordination.note_released(state, release, answer, token,
                                context.clock.now())
@@ -180,8 +180,9 @@
     now, kept_at = context.clock.now(), context.owned.lease_sent_at
     if (now - kept_at > ownership.MAX_OFFLINE_MS or
             now - grant.planned_at > ownership.MAX_GRANT_AGE_MS or
-            grant.link is None and not ownership.may_link(kept_at, now)):
-        return ownership.GrantResult(ownership.Answer.NOT_SENT)
+            grant.link is None and
+            not ownership.may_open_connection(kept_at, now)):
+        return ownership.GrantResult(ownership.CallOutcome.NOT_SENT)
     return context.platform.servers.grant(grant)
 
 
--- a/lentilmoor/platform/links.py
+++ b/lentilmoor/platform/links.py
@@ -29,7 +29,7 @@
 ABORT_ON_CLOSE = (socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
 OPTIONS = (*store.KEEPALIVE, ABORT_ON_CLOSE)
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 
 
 @dataclasses.dataclass(slots=True)
@@ -80,7 +80,7 @@
 
     @contextlib.contextmanager
     def take(self,
-             action: ownership.Grant) -> Iterator[Link | ownership.Answer]:
+             action: ownership.Grant) -> Iterator[Link | ownership.CallOutcome]:
         """Gives the link for a grant, with its lock held.
 
         Yields:
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -21,7 +21,7 @@
 # A release is answered when the work that runs on its keys has ended.
 RELEASE_MS = 2_500.0
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 _BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError)
 
 
@@ -46,7 +46,7 @@
                 return ownership.GrantResult(link)
             return _grant_over(pool, link, action, clock)
 
-    def release(action: ownership.Release) -> tuple[ownership.Answer, str]:
+    def release(action: ownership.Release) -> tuple[ownership.CallOutcome, str]:
         item = action.item
         fields = {'From': item.first, 'To': item.last, 'fence': item.fence}
         reply = call_release(action.server.address, fields, RELEASE_MS)
@@ -55,7 +55,7 @@
             token = reply.headers.get(_TOKEN, '')
         return _judge_reply(reply), token
 
-    def probe(action: ownership.Probe) -> ownership.Answer:
+    def probe(action: ownership.Probe) -> ownership.CallOutcome:
         # Releases key 0. The keys of a server that is probed are about to move,
         # so that it may lose one early.
         fields = {'From': 0, 'To': 0, 'fence': 0}
@@ -116,7 +116,8 @@
     return json.dumps(fields).encode()
 
 
-def _judge_reply(reply: httpcalls.Reply | outcomes.Failed) -> ownership.Answer:
+def _judge_reply(
+        reply: httpcalls.Reply | outcomes.Failed) -> ownership.CallOutcome:
     if isinstance(reply, outcomes.Failed):
         if reply.reason is outcomes.Reason.CONNECT_FAILED:
             return _Answer.NOT_SENT
@@ -124,7 +125,7 @@
     return _judge_status(reply.status)
 
 
-def _judge_status(status: int) -> ownership.Answer:
+def _judge_status(status: int) -> ownership.CallOutcome:
     if status == 200:
         return _Answer.DONE
     if status == 409:
--- a/tests/edgeworlds.py
+++ b/tests/edgeworlds.py
@@ -54,13 +54,13 @@
         """Applies a grant; its time runs from its arrival."""
         if any(begin <= last and end >= first and seen > fence
                for begin, end, seen in self.seen):
-            return ownership.Answer.REFUSED
+            return ownership.CallOutcome.REFUSED
         self.seen.append((first, last, fence))
         until = arrived + hold_ms * self.pace
         self.release(first, last)
         if until > now:
             self.held.append(Held(first, last, fence, until))
-        return ownership.Answer.DONE
+        return ownership.CallOutcome.DONE
 
     def release(self, first, last):
         """Takes keys back."""
@@ -205,7 +205,7 @@
         for action in coordination.plan(item.state, self._view(), self.now):
             self._carry_out(item, action)
 
-    def _view(self) -> ownership.View:
+    def _view(self) -> ownership.ServiceView:
         listed = self.list_servers()
         left = {
             name: server.entry
@@ -216,7 +216,7 @@
             other.listed and other.entry.address == server.entry.address and
             other.entry.seen_at > server.entry.seen_at
             for other in self.servers.values()))
-        return ownership.View(
+        return ownership.ServiceView(
             {
                 name: entry
                 for name, entry in listed.items()
@@ -257,24 +257,24 @@
 
         if (self.now - action.planned_at > ownership.MAX_GRANT_AGE_MS or
                 action.link is None and
-                not ownership.may_link(item.kept_at, self.now)):
-            note(ownership.Answer.NOT_SENT)
+                not ownership.may_open_connection(item.kept_at, self.now)):
+            note(ownership.CallOutcome.NOT_SENT)
             return
         if not self._is_linked(item, action, model):
-            note(ownership.Answer.UNLINKED)
+            note(ownership.CallOutcome.UNLINKED)
             return
         if not model.up or not model.reachable:
             item.links.pop(action.server.id, None)
-            self._after(100, lambda: note(ownership.Answer.NOT_SENT))
+            self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT))
             return
         link = self._connect(item, action, model)
 
         def apply(arrived):
             if not model.up:
-                return ownership.Answer.UNKNOWN
+                return ownership.CallOutcome.UNKNOWN
             answer = model.grant(keys.first, keys.last, action.fence,
                                  action.hold_ms, arrived, self.now)
-            if (answer is ownership.Answer.DONE and
+            if (answer is ownership.CallOutcome.DONE and
                     model.holds(keys.first, self.now)):
                 self._note_taken(model, keys, action.fence)
             return answer
@@ -282,11 +282,12 @@
         def give_up():
             if item.links.get(action.server.id, (None,))[0] == link:
                 del item.links[action.server.id]
-            note(ownership.Answer.UNKNOWN, link)
+            note(ownership.CallOutcome.UNKNOWN, link)
 
         def answer_later():
-            answer = ownership.Answer.UNKNOWN if model.cut else apply(self.now)
-            if answer is ownership.Answer.UNKNOWN:
+            answer = ownership.CallOutcome.UNKNOWN if model.cut else apply(
+                self.now)
+            if answer is ownership.CallOutcome.UNKNOWN:
                 self._after(sent + ownership.GRANT_TIMEOUT_MS - self.now,
                             give_up)
             else:
@@ -345,15 +346,15 @@
             coordination.note_released(state, action, answer, token, self.now)
 
         if not model.up or not model.reachable:
-            self._after(100, lambda: note(ownership.Answer.NOT_SENT, ''))
+            self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT, ''))
             return
         if model.frozen or model.cut:
-            self._after(400, lambda: note(ownership.Answer.UNKNOWN, ''))
+            self._after(400, lambda: note(ownership.CallOutcome.UNKNOWN, ''))
             return
 
         def apply():
             model.release(keys.first, keys.last)
-            self._after(60, lambda: note(ownership.Answer.DONE, 'token'))
+            self._after(60, lambda: note(ownership.CallOutcome.DONE, 'token'))
 
         self._after(3, apply)
 
@@ -364,15 +365,15 @@
             coordination.note_probed(state, action, answer, self.now)
 
         if not model.up or not model.reachable:
-            self._after(100, lambda: note(ownership.Answer.NOT_SENT))
+            self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT))
             return
         if model.frozen or model.cut:
-            self._after(400, lambda: note(ownership.Answer.UNKNOWN))
+            self._after(400, lambda: note(ownership.CallOutcome.UNKNOWN))
             return
 
         def apply():
             model.release(0, 0)
-            self._after(4, lambda: note(ownership.Answer.DONE))
+            self._after(4, lambda: note(ownership.CallOutcome.DONE))
 
         self._after(3, apply)
 
@@ -404,7 +405,7 @@
 
 def find_end(sent_at: float) -> float:
     """Returns when a usual grant has surely ended."""
-    return holds.find_end(sent_at, ownership.HOLD_MS)
+    return holds.compute_expiry(sent_at, ownership.HOLD_MS)
 
 
 def count_keys(ranges) -> int:
--- a/tests/orderworlds.py
+++ b/tests/orderworlds.py
@@ -56,9 +56,9 @@
 GRID_MS = 750.0
 _LOADS = keyloads.KeyLoads({})
 # Views by what they show; names and starts of processes are always the same.
-_views: dict[tuple, ownership.View] = {}
+_views: dict[tuple, ownership.ServiceView] = {}
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 
 
 class Fate(enum.Enum):
@@ -344,7 +344,7 @@
     def _send_grant(self, index, action, fate) -> None:
         now, coordinator, server = self.now, self.coordinators[
             index], action.server
-        if action.link is None and not ownership.may_link(
+        if action.link is None and not ownership.may_open_connection(
                 coordinator.kept_at, now):
             self._note_grant(index, action, _Answer.NOT_SENT, None, now)
             return
@@ -704,7 +704,7 @@
                     coordinator.state, self._view(coordinator), self.now)]
         return decided
 
-    def _view(self, coordinator: Coordinator) -> ownership.View:
+    def _view(self, coordinator: Coordinator) -> ownership.ServiceView:
         draining = tuple(name for name, item in self.processes.items()
                          if item.entry.draining)
         key = (coordinator.known, coordinator.ended, coordinator.listed,
@@ -714,12 +714,12 @@
             view = _views[key] = self._make_view(coordinator)
         return view
 
-    def _make_view(self, coordinator: Coordinator) -> ownership.View:
+    def _make_view(self, coordinator: Coordinator) -> ownership.ServiceView:
         entries = {
             name: self.processes[name].entry
             for name in sorted(coordinator.known)
         }
-        return ownership.View(
+        return ownership.ServiceView(
             {
                 name: entry
                 for name, entry in entries.items()
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -136,13 +136,13 @@
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
         state = coordination.begin(assignment, 1, 0.0, None, 1_200.0)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
-        view = ownership.View({'a': server}, frozenset(), {},
-                              keyloads.KeyLoads({}), {})
+        view = ownership.ServiceView({'a': server}, frozenset(), {},
+                                     keyloads.KeyLoads({}), {})
         grant, = coordination.plan(state, view, 0.0)
         self.assertEqual(grant.hold_ms, 1_200.0)
-        coordination.note_granted(state, grant,
-                                  ownership.GrantResult(ownership.Answer.DONE),
-                                  0.0, 1.0)
+        coordination.note_granted(
+            state, grant, ownership.GrantResult(ownership.CallOutcome.DONE),
+            0.0, 1.0)
         self.assertLess(state.renewals[grant.item].due_at, 400.0)
 
     def test_a_server_that_answers_again_keeps_what_nobody_got_yet(self):
@@ -232,15 +232,15 @@
                                 '')
         state.sent.append(grant.item)
         coordination.note_granted(
-            state, grant, ownership.GrantResult(ownership.Answer.REFUSED), 0.0,
-            1.0)
+            state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
+            0.0, 1.0)
         self.assertFalse(state.lost)
         grant = ownership.Grant('stock', server, assignment.ranges[0], 2, 4_000,
                                 '')
         state.sent.append(grant.item)
         coordination.note_granted(
-            state, grant, ownership.GrantResult(ownership.Answer.REFUSED), 0.0,
-            1.0)
+            state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
+            0.0, 1.0)
         self.assertTrue(state.lost)
 
 
@@ -304,8 +304,8 @@
         other = world.servers['s3']
         other.entry = dataclasses.replace(other.entry,
                                           address=gone.entry.address)
-        view = ownership.View(world.list_servers(), frozenset(), {},
-                              keyloads.KeyLoads({}), {})
+        view = ownership.ServiceView(world.list_servers(), frozenset(), {},
+                                     keyloads.KeyLoads({}), {})
         self._take_over(world)
         state = world.coordinators[1].state
         self.assertFalse(ownership.may_return(state, view, 's2', world.now))
@@ -360,13 +360,13 @@
         state = world.coordinators[0].state
         ended = frozenset({'s2'})
         servers = world.list_servers()
-        view = ownership.View(
+        view = ownership.ServiceView(
             {
                 name: entry for name, entry in servers.items() if name != 's2'
             }, ended, {'s2': servers['s2']}, keyloads.KeyLoads({}), {})
-        until = holds.find_until(state.held, 's2', 0, tables.KEYS)
+        until = holds.find_expiry(state.held, 's2', 0, tables.KEYS)
         actions = coordination.plan(state, view, world.now)
-        self.assertEqual(holds.find_until(state.held, 's2', 0, tables.KEYS),
+        self.assertEqual(holds.find_expiry(state.held, 's2', 0, tables.KEYS),
                          until)
         self.assertFalse(
             any(isinstance(item, ownership.Save) for item in actions))
@@ -395,7 +395,8 @@
             state = world.coordinators[0].state
             state.held.append(
                 holds.Hold(hot.first, hot.last, hot.server, hot.fence,
-                           holds.find_end(world.now, ownership.HOLD_MS), False))
+                           holds.compute_expiry(world.now, ownership.HOLD_MS),
+                           False))
             world.run(2_000)
             owners = {
                 name for name, model in world.servers.items()
@@ -416,25 +417,25 @@
 class LateArrivalTest(unittest.TestCase):
     """A grant arrives any time before it is answered or given up."""
 
-    def _note(self, answer: ownership.Answer, now: float) -> float:
+    def _note(self, answer: ownership.CallOutcome, now: float) -> float:
         """Returns until when keys count as held that were granted at 0."""
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
         state = coordination.begin(assignment, 1, 0.0, None)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
-        view = ownership.View({'a': server}, frozenset(), {},
-                              keyloads.KeyLoads({}), {})
+        view = ownership.ServiceView({'a': server}, frozenset(), {},
+                                     keyloads.KeyLoads({}), {})
         grant, = coordination.plan(state, view, 0.0)
         coordination.note_granted(state, grant,
                                   ownership.GrantResult(answer, 1), 0.0, now)
-        return holds.find_until(state.held, 'a', 0, 9)
+        return holds.find_expiry(state.held, 'a', 0, 9)
 
     def test_one_that_is_answered_late_counts_from_its_answer(self):
-        until = self._note(ownership.Answer.DONE, 390.0)
+        until = self._note(ownership.CallOutcome.DONE, 390.0)
         self.assertGreaterEqual(until, 390.0 + ownership.HOLD_MS / 0.98)
 
     def test_one_that_is_given_up_counts_from_then(self):
-        until = self._note(ownership.Answer.UNKNOWN, 400.0)
+        until = self._note(ownership.CallOutcome.UNKNOWN, 400.0)
         self.assertGreaterEqual(until, 400.0 + ownership.HOLD_MS / 0.98)
 
 
--- a/tests/test_edge_fences.py
+++ b/tests/test_edge_fences.py
@@ -10,7 +10,7 @@
 from lentilmoor.edge import tables
 from tests import edgeworlds
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 
 
 def _make_server(name):
@@ -18,8 +18,8 @@
 
 
 def _make_view(*names):
-    return ownership.View({name: _make_server(name) for name in names},
-                          frozenset(), {}, keyloads.KeyLoads({}), {})
+    return ownership.ServiceView({name: _make_server(name) for name in names},
+                                 frozenset(), {}, keyloads.KeyLoads({}), {})
 
 
 class SaveWhileFencesChangeTest(unittest.TestCase):
@@ -79,7 +79,7 @@
                                   ownership.GrantResult(_Answer.DONE, 1), 0.0,
                                   1.0)
         renewal = state.renewals[ranges[0]]
-        ownership.change_fence(state, renewal, 1)
+        ownership.replace_fence(state, renewal, 1)
         renewal.due_at = 0.0
         # The middle is about to move, so that both ends are renewed.
         state.moves.append(
--- a/tests/test_edge_handover.py
+++ b/tests/test_edge_handover.py
@@ -183,7 +183,7 @@
         if grant.link is None:
             self.unlinked_at.append(self.time.at)
         self.granted.setdefault(grant.server.id, []).append(self.time.at)
-        return ownership.GrantResult(ownership.Answer.DONE, 1)
+        return ownership.GrantResult(ownership.CallOutcome.DONE, 1)
 
 
 def _make_world(small: bool = False) -> World:
--- a/tests/test_edge_orders.py
+++ b/tests/test_edge_orders.py
@@ -161,11 +161,11 @@
         return '\n'.join(report.traces[breach])
 
     def test_holds_that_count_from_the_sending(self):
-        note, find_end = coordination.note_granted, holds.find_end
+        note, find_end = coordination.note_granted, holds.compute_expiry
 
         def note_early(state, grant, granted, sent_at, now):
             with mock.patch.object(
-                    holds, 'find_end',
+                    holds, 'compute_expiry',
                     lambda unused_by, hold_ms: find_end(sent_at, hold_ms)):
                 note(state, grant, granted, sent_at, now)
 
@@ -187,14 +187,14 @@
                        orderworlds.Rules(linked=False,
                                          listed_ms=_LISTED.listed_ms)),
             _Breach.FENCE,
-            [(ownership, 'change_fence', lambda state, renewal, link: None)])
+            [(ownership, 'replace_fence', lambda state, renewal, link: None)])
         self.assertIn('a1 crashes, another starts at its address', course)
         self.assertIn('a2 takes the key with fence 1, a1 had it with 1', course)
 
     def test_holds_forgotten_as_a_process_ended(self):
         course = self._find(
             _make_hunt(('restart', 'drain'), (), _LISTED), _Breach.HOLDERS,
-            [(holds, 'hand_on',
+            [(holds, 'transfer_to_replacement',
               lambda rows, server, unused_replacement: _forget(rows, server))])
         self.assertIn('a2 is about to leave', course)
         self.assertIn('b1 and a2 hold the key', course)
@@ -209,12 +209,14 @@
         self.assertIn('applied later', course)
 
     def test_moves_that_overtake_grants_under_way(self):
-        self._find(_make_hunt(('drain',), (_Fate.LATE,)), _Breach.FENCE,
-                   [(ownership, 'is_under_way', lambda state, transfer: False)])
+        self._find(
+            _make_hunt(('drain',), (_Fate.LATE,)), _Breach.FENCE,
+            [(ownership, 'has_grant_in_flight', lambda state, transfer: False)])
 
     def test_holds_without_an_allowance_for_slow_clocks(self):
         self._find(_make_hunt(('cut', 'drain'), ()), _Breach.HOLDERS,
-                   [(holds, 'CLOCK_FACTOR', 1.0), (holds, 'MARGIN_MS', 0.0)])
+                   [(holds, 'CLOCK_DRIFT_FACTOR', 1.0),
+                    (holds, 'DELIVERY_MARGIN_MS', 0.0)])
 
 
 def _forget(rows, server: str):
--- a/tests/test_edge_rebalancing.py
+++ b/tests/test_edge_rebalancing.py
@@ -39,7 +39,7 @@
     def setUp(self):
         super().setUp()
         self.capacities = {'low': 0.05, 'a': 1.0, 'b': 1.0, 'c': 1.0}
-        self.ranges = keyranges.divide_evenly(self.capacities, {}, 1)
+        self.ranges = keyranges.divide_by_weight(self.capacities, {}, 1)
         self.loads = keyloads.KeyLoads(
             {key: 5.0 for key in range(0, tables.KEYS, 1_024)})
 
@@ -61,7 +61,7 @@
 
     def setUp(self):
         super().setUp()
-        self.ranges = keyranges.divide_evenly(SPEEDS, {}, 1)
+        self.ranges = keyranges.divide_by_weight(SPEEDS, {}, 1)
         loads = _spread(140)
         loads[HOT] = 60.0
         self.loads = keyloads.KeyLoads(loads)
@@ -124,7 +124,7 @@
         loads[10] = loads.get(10, 0.0) + 3.0
         capacities = dict.fromkeys((f's{index}' for index in range(16)), 1.0)
         capacities['fast'] = 2.0
-        ranges = keyranges.divide_evenly(capacities, capacities, 1)
+        ranges = keyranges.divide_by_weight(capacities, capacities, 1)
         for item in rebalancing.plan_transfers(ranges, keyloads.KeyLoads(loads),
                                                capacities):
             self.assertNotEqual((item.first, item.last), (10, 10))
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -37,7 +37,7 @@
 class KeyRangesTest(unittest.TestCase):
 
     def test_every_key_has_one_owner_however_ranges_are_cut(self):
-        ranges = keyranges.divide_evenly('abc', {'b': 2.0}, 1)
+        ranges = keyranges.divide_by_weight('abc', {'b': 2.0}, 1)
         self.assertEqual(edgeworlds.count_keys(ranges), tables.KEYS)
         laid = keyranges.reassign(
             ranges, [_range(100, 200, 'b', 2),
@@ -57,7 +57,7 @@
             _range(30, 39, 'b', 4),
             _range(40, 49, 'b', 7)
         ]
-        joined, fence = keyranges.join_neighbours(ranges, 8, [(40, 49)])
+        joined, fence = keyranges.merge_under_new_fences(ranges, 8, [(40, 49)])
         self.assertEqual(joined, (_range(0, 29, 'a', 8), _range(
             30, 39, 'b', 4), _range(40, 49, 'b', 7)))
         self.assertEqual(fence, 9)
@@ -105,7 +105,7 @@
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abcd'
         ]
-        ranges = keyranges.divide_evenly('abcd', {}, 1)
+        ranges = keyranges.divide_by_weight('abcd', {}, 1)
         rows = [(key,
                  keyranges.find_owner(keyranges.Assignment('x', 1, 1, ranges),
                                       key).server, 60.0)
@@ -164,7 +164,7 @@
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abcd'
         ]
-        ranges = keyranges.divide_evenly('abcd', {}, 1)
+        ranges = keyranges.divide_by_weight('abcd', {}, 1)
         for step in range(10):
             rows = []
             for key in range(0, tables.KEYS, 700):
@@ -240,7 +240,7 @@
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abcd'
         ]
-        ranges = keyranges.divide_evenly('abcd', {}, 1)
+        ranges = keyranges.divide_by_weight('abcd', {}, 1)
         assignment = keyranges.Assignment('x', 1, 1, ranges)
 
         def report(slow_ms: float, now: float) -> None:
--- a/tests/test_edge_saves.py
+++ b/tests/test_edge_saves.py
@@ -36,7 +36,7 @@
 
     def _step(self, state, now):
         """Plans; servers answer unless cut. Returns the saves."""
-        view = ownership.View(
+        view = ownership.ServiceView(
             {
                 name: item.entry for name, item in self.models.items()
             }, frozenset(), {}, keyloads.KeyLoads({}), {})
@@ -45,13 +45,14 @@
             if isinstance(action, ownership.Save):
                 saves.append(action)
             elif isinstance(action, ownership.Probe):
-                answer = (ownership.Answer.UNKNOWN
-                          if self.cut else ownership.Answer.DONE)
+                answer = (ownership.CallOutcome.UNKNOWN
+                          if self.cut else ownership.CallOutcome.DONE)
                 coordination.note_probed(state, action, answer, now)
             elif isinstance(action, ownership.Grant):
                 model = self.models[action.server.id]
                 if self.cut and action.server.id == 'a':
-                    granted = ownership.GrantResult(ownership.Answer.NOT_SENT)
+                    granted = ownership.GrantResult(
+                        ownership.CallOutcome.NOT_SENT)
                 else:
                     granted = ownership.GrantResult(
                         model.grant(action.item.first, action.item.last,
--- a/tests/test_platform_grants.py
+++ b/tests/test_platform_grants.py
@@ -18,7 +18,7 @@
 from lentilmoor.edge import tables
 from lentilmoor.platform import servers
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 
 
 class _Backend:
@@ -87,9 +87,9 @@
             None)
         self.state.balanced_at = began + 1e9
         server = tables.Server('a', 'stock', address, 'd', 2, False, 0.0, 0.0)
-        self.view = ownership.View({'a': server}, frozenset(), {},
-                                   keyloads.KeyLoads({}), {})
-        self.counts: collections.Counter[ownership.Answer] = (
+        self.view = ownership.ServiceView({'a': server}, frozenset(), {},
+                                          keyloads.KeyLoads({}), {})
+        self.counts: collections.Counter[ownership.CallOutcome] = (
             collections.Counter())
         self._returned: queue.Queue = queue.Queue()
 
