--- a/benchmarks/edge_slopes.py
+++ b/benchmarks/edge_slopes.py
@@ -58,14 +58,14 @@
             for name in names
         }, frozenset(), {}, keyloads.KeyLoads({}), {})
     ranges = keyranges.divide_by_weight(names, {}, 1)
-    state = coordination.begin(keyranges.Assignment('x', 1, 2, ranges), 1, 0.0,
-                               None)
+    state = coordination.start_coordination(
+        keyranges.Assignment('x', 1, 2, ranges), 1, 0.0, None)
     state.balanced_at = 1.0
-    for item in coordination.plan(state, view, 1.0):
-        coordination.note_granted(
+    for item in coordination.plan_actions(state, view, 1.0):
+        coordination.handle_grant_result(
             state, item, ownership.GrantResult(ownership.CallOutcome.DONE), 1.0,
             1.0)
-    return _time(lambda: coordination.plan(state, view, 2.0))
+    return _time(lambda: coordination.plan_actions(state, view, 2.0))
 
 
 def measure_assignment(servers: int) -> int:
--- a/lentilmoor/edge/coordination.py
+++ b/lentilmoor/edge/coordination.py
@@ -32,10 +32,10 @@
 _UNKNOWN_SERVER = ''
 
 
-def make_first(service: str,
-               servers: Mapping[str, tables.Server],
-               author: str = '',
-               era: int = 0) -> keyranges.Assignment:
+def make_first_assignment(service: str,
+                          servers: Mapping[str, tables.Server],
+                          author: str = '',
+                          era: int = 0) -> keyranges.Assignment:
     """Returns the assignment of a service that never had one."""
     ready = [item.id for item in servers.values() if not item.draining]
     fence = keyranges.find_first_fence(era)
@@ -49,9 +49,9 @@
         era=era)
 
 
-def make_next(before: keyranges.Assignment,
-              author: str = '',
-              era: int = 0) -> keyranges.Assignment:
+def make_next_assignment(before: keyranges.Assignment,
+                         author: str = '',
+                         era: int = 0) -> keyranges.Assignment:
     """Returns the assignment that a new coordinator begins with.
 
     Args:
@@ -102,23 +102,23 @@
     """
     before = keyranges.find_newest(known)
     if before is None:
-        return Succession(make_first(service, servers, author, era), None,
-                          False)
+        return Succession(make_first_assignment(service, servers, author, era),
+                          None, False)
     # Only its author knows all that followed what was saved before a restore.
     may_lack_moves = before.era < era and before.author != author
-    following = make_next(before, author, era)
+    following = make_next_assignment(before, author, era)
     if may_lack_moves:
         # Its own successor may lack them too, until it has waited.
         following = dataclasses.replace(following, era=before.era)
     return Succession(following, before.author, may_lack_moves)
 
 
-def begin(assignment: keyranges.Assignment,
-          revision: int,
-          now: float,
-          predecessor: str | None,
-          longest_ms: float = ownership.HOLD_MS,
-          may_lack_moves: bool = False) -> ownership.Coordination:
+def start_coordination(assignment: keyranges.Assignment,
+                       revision: int,
+                       now: float,
+                       predecessor: str | None,
+                       longest_ms: float = ownership.HOLD_MS,
+                       may_lack_moves: bool = False) -> ownership.Coordination:
     """Returns the state of a coordinator whose assignment was saved.
 
     Args:
@@ -168,8 +168,8 @@
         state.renewals[item] = ownership.Renewal(item.fence, due_at=until)
 
 
-def note_restored(state: ownership.Coordination, revision: int,
-                  saved_revision: int) -> None:
+def handle_store_restored(state: ownership.Coordination, revision: int,
+                          saved_revision: int) -> None:
     """Takes in that the store was restored from an older copy.
 
     What this coordinator saved last may be lost. It goes on with what it knows
@@ -189,7 +189,7 @@
         state.predecessor_save_revision = revision
 
 
-def note_predecessor_ended(state: ownership.Coordination, now: float) -> None:
+def handle_predecessor_ended(state: ownership.Coordination, now: float) -> None:
     """Takes in that the coordinator before can't renew anything any more."""
     if not state.predecessor:
         return
@@ -201,8 +201,8 @@
     ]
 
 
-def plan(state: ownership.Coordination, view: ownership.ServiceView,
-         now: float) -> list[ownership.Action]:
+def plan_actions(state: ownership.Coordination, view: ownership.ServiceView,
+                 now: float) -> list[ownership.Action]:
     """Returns what is to be done now."""
     state.held = holds.drop_expired(state.held, now)
     for server in view.ended:
@@ -221,9 +221,9 @@
     return actions
 
 
-def note_granted(state: ownership.Coordination, grant: ownership.Grant,
-                 granted: ownership.GrantResult, sent_at: float,
-                 now: float) -> None:
+def handle_grant_result(state: ownership.Coordination, grant: ownership.Grant,
+                        granted: ownership.GrantResult, sent_at: float,
+                        now: float) -> None:
     """Takes in what came of a grant.
 
     Args:
@@ -296,9 +296,10 @@
         ownership.replace_fence(state, renewal, link)
 
 
-def note_released(state: ownership.Coordination, release: ownership.Release,
-                  answer: ownership.CallOutcome, token: str,
-                  now: float) -> None:
+def handle_release_result(state: ownership.Coordination,
+                          release: ownership.Release,
+                          answer: ownership.CallOutcome, token: str,
+                          now: float) -> None:
     """Takes in what came of a release."""
     _note_answer(state, release.item.server, answer, now)
     for move in state.moves:
@@ -315,8 +316,8 @@
                                        transfer.first, transfer.last)
 
 
-def note_probed(state: ownership.Coordination, probe: ownership.Probe,
-                answer: ownership.CallOutcome, now: float) -> None:
+def handle_probe_result(state: ownership.Coordination, probe: ownership.Probe,
+                        answer: ownership.CallOutcome, now: float) -> None:
     """Takes in what came of a probe."""
     state.probed.discard(probe.server.id)
     _note_answer(state, probe.server.id, answer, now)
@@ -339,8 +340,8 @@
     state.unreleased.discard(name)
 
 
-def note_not_saved(state: ownership.Coordination, refused: bool,
-                   now: float) -> None:
+def handle_save_failure(state: ownership.Coordination, refused: bool,
+                        now: float) -> None:
     """Takes in that a save failed.
 
     Args:
@@ -357,8 +358,8 @@
             move.unsettled |= not refused
 
 
-def note_saved(state: ownership.Coordination, save: ownership.Save,
-               revision: int) -> None:
+def handle_saved(state: ownership.Coordination, save: ownership.Save,
+                 revision: int) -> None:
     """Takes in that an assignment was saved."""
     state.saving = False
     before = set(state.assignment.ranges)
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -112,8 +112,8 @@
     if revisions.find_era(everything.revision) <= state.era:
         return
     saved = everything.assignments.get(name)
-    coordination.note_restored(state, everything.revision,
-                               saved.revision if saved else 0)
+    coordination.handle_store_restored(state, everything.revision,
+                                       saved.revision if saved else 0)
     context.logger.info('coordination_continued',
                         service=name,
                         revision=revisions.show(everything.revision),
@@ -262,7 +262,7 @@
                             revision=revisions.show(result),
                             ranges=len(assignment.ranges))
         role.measured.seed_works(assignment.works)
-        role.state = coordination.begin(
+        role.state = coordination.start_coordination(
             assignment, result, context.clock.now(), plan.predecessor,
             context.platform.settings.bounds.hold_max_ms, plan.may_lack_moves)
         role.state.predecessor_save_revision = revision
--- a/lentilmoor/edge/loads.py
+++ b/lentilmoor/edge/loads.py
@@ -201,7 +201,7 @@
       rate: Requests per second to all servers combined.
     """
     weights = {
-        server: capacity**rebalancing.SPEED_POWER
+        server: capacity**rebalancing.SPEED_EXPONENT
         for server, capacity in capacities.items()
     }
     rate_per_weight = rate / sum(weights.values())
@@ -223,6 +223,6 @@
     return capacities | {
         server:
             max(MIN_WEIGHT, other_weight * target_rate / other_rate)
-            **(1 / rebalancing.SPEED_POWER)
+            **(1 / rebalancing.SPEED_EXPONENT)
         for server, target_rate in limited.items()
     }
--- a/lentilmoor/edge/moves.py
+++ b/lentilmoor/edge/moves.py
@@ -69,8 +69,8 @@
                                      replacement)
             ]
         else:
-            transfers = rebalancing.plan_leave(item, owned, view.loads,
-                                               capacities)
+            transfers = rebalancing.plan_departure(item, owned, view.loads,
+                                                   capacities)
         for transfer in transfers:
             state.moves.append(ownership.Move(transfer, phase, now))
 
@@ -81,7 +81,7 @@
     owned = ownership.list_unmoved_ranges(state)
     transfers = rebalancing.plan_transfers(owned, view.loads, capacities)
     if not transfers:
-        transfers = rebalancing.plan_joins(owned, view.loads, capacities)
+        transfers = rebalancing.plan_range_merges(owned, view.loads, capacities)
     for transfer in transfers:
         if _is_loose(state, transfer):
             state.loose.append(transfer)
--- a/lentilmoor/edge/rebalancing.py
+++ b/lentilmoor/edge/rebalancing.py
@@ -23,36 +23,36 @@
 
 # A server gives keys away if it has this much more than its share: each move
 # costs a cold start.
-SURPLUS_FACTOR = 1.2
+OVERLOAD_FACTOR = 1.2
 # And if its surplus is this many times what chance alone makes of it: a count
 # varies by its square root.
-SURPLUS_DEVIATIONS = 1.0
+MIN_SURPLUS_DEVIATIONS = 1.0
 # A server without keys takes this part of its share at once.
-JOIN_PART = 0.7
+JOIN_SHARE_FRACTION = 0.7
 # Servers get load by this power of their speed: at equal utilisation requests
 # would wait longer at slow ones.
-SPEED_POWER = 1.5
+SPEED_EXPONENT = 1.5
 # Moves planned at once: each costs a release and a grant.
-MOST_MOVES = 24
+MAX_TRANSFERS = 24
 # A key heavier than its owner's share moves to a server this many times as
 # fast: it is unserved while it moves, for as long as work on it still runs.
-FASTER = 1.25
+MIN_SPEEDUP_FACTOR = 1.25
 # Minimum load of a heavy key, as a fraction of the share of a server with
 # capacity 1. Without it, even light keys of a server with a low rate limit
 # would each be moved to a different one of the fastest servers.
-MIN_HEAVY_SHARE = 0.125
+MIN_HEAVY_KEY_FRACTION = 0.125
 # A key is kept apart from what makes up a run once it is this many times the
 # load that is to move: moving it would move the trouble.
-HEAVY_FACTOR = 1.6
+HEAVY_KEY_FACTOR = 1.6
 # Ranges for each server beyond which scraps are joined to their neighbours.
-MOST_RANGES = 3
+MAX_RANGES_PER_SERVER = 3
 # A scrap has less than this part of a server's share of the load.
-SCRAP_PART = 0.06
+SMALL_RANGE_FRACTION = 0.06
 # Scraps joined at once.
-MOST_JOINS = 8
+MAX_RANGE_MERGES = 8
 # Pieces that a server's keys are cut into when it leaves, per server that
 # stays.
-PIECES = 2
+PIECES_PER_SERVER = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class Evenness:
+class ImbalanceSummary:
     """How evenly load lies, for the log.
 
     Attributes:
@@ -126,7 +126,7 @@
     if len(capacities) < 2 or sum(plan.held.values()) <= 0:
         return []  # All keys are on their way, or there is no choice.
     transfers = _move_heavy(plan, capacities)
-    while len(transfers) < MOST_MOVES:
+    while len(transfers) < MAX_TRANSFERS:
         transfer = _plan_one(plan)
         if transfer is None or _meets_any(transfer, transfers):
             break
@@ -135,9 +135,9 @@
     return transfers
 
 
-def measure_evenness(ranges: Iterable[keyranges.KeyRange],
-                     loads: keyloads.KeyLoads,
-                     capacities: Mapping[str, float]) -> Evenness:
+def measure_imbalance(ranges: Iterable[keyranges.KeyRange],
+                      loads: keyloads.KeyLoads,
+                      capacities: Mapping[str, float]) -> ImbalanceSummary:
     """Returns how evenly load lies over servers that may hold keys."""
     plan = _make_plan(ranges, loads, capacities)
     share = sum(plan.held.values()) / max(sum(plan.capacities.values()), 1e-9)
@@ -147,14 +147,15 @@
     }
     busiest = max(ratios, key=ratios.__getitem__, default='')
     key, load = next(iter(loads.list_heavy(0.0)), (-1, 0.0))
-    return Evenness(round(loads.total, 1), busiest,
-                    round(ratios.get(busiest, 0.0), 2), key, round(load, 1))
+    return ImbalanceSummary(round(loads.total, 1), busiest,
+                            round(ratios.get(busiest, 0.0), 2), key,
+                            round(load, 1))
 
 
 def _make_plan(ranges: Iterable[keyranges.KeyRange], loads: keyloads.KeyLoads,
                speeds: Mapping[str, float]) -> _Plan:
     owned = list(ranges)
-    weights = {name: speed**SPEED_POWER for name, speed in speeds.items()}
+    weights = {name: speed**SPEED_EXPONENT for name, speed in speeds.items()}
     return _Plan(owned, _measure_servers(owned, loads, weights), loads, weights)
 
 
@@ -163,12 +164,12 @@
     share = sum(plan.held.values()) / sum(plan.capacities.values())
     heavy = []
     thresholds = {
-        name: share * max(MIN_HEAVY_SHARE, capacity)
+        name: share * max(MIN_HEAVY_KEY_FRACTION, capacity)
         for name, capacity in plan.capacities.items()
     }
     for key, load in plan.loads.list_heavy(min(thresholds.values())):
         item = keyranges.find_range(plan.owned, key)
-        sure = load - SURPLUS_DEVIATIONS * load**0.5
+        sure = load - MIN_SURPLUS_DEVIATIONS * load**0.5
         if (item is not None and item.server in thresholds and
                 sure > thresholds[item.server]):
             heavy.append((key, load, item.server))
@@ -177,8 +178,8 @@
     homes: dict[str, float] = {}
     for key, load, owner in heavy:
         target = next((name for name in fastest if name not in homes), owner)
-        if target != owner and (owner in homes or
-                                speeds[target] >= FASTER * speeds[owner]):
+        if target != owner and (owner in homes or speeds[target]
+                                >= MIN_SPEEDUP_FACTOR * speeds[owner]):
             transfer = Transfer(key, key, owner, target)
             transfers.append(transfer)
             _apply(plan, transfer)
@@ -216,8 +217,9 @@
         for item in others)
 
 
-def plan_joins(ranges: Iterable[keyranges.KeyRange], loads: keyloads.KeyLoads,
-               capacities: Mapping[str, float]) -> list[Transfer]:
+def plan_range_merges(ranges: Iterable[keyranges.KeyRange],
+                      loads: keyloads.KeyLoads,
+                      capacities: Mapping[str, float]) -> list[Transfer]:
     """Plans what gives scraps of keys back to their neighbours' owners.
 
     Keys that were hot leave scraps behind, and each range costs a renewal a
@@ -229,9 +231,9 @@
       capacities: Relative speed of each server that may hold keys; not empty.
     """
     owned = list(ranges)
-    if len(owned) <= MOST_RANGES * len(capacities):
+    if len(owned) <= MAX_RANGES_PER_SERVER * len(capacities):
         return []
-    least = loads.total / len(capacities) * SCRAP_PART
+    least = loads.total / len(capacities) * SMALL_RANGE_FRACTION
     transfers: list[Transfer] = []
     for before, item in zip(owned, owned[1:], strict=False):
         scrap, target = item, before.server
@@ -245,14 +247,15 @@
         if (known and together and small and
                 not _meets_any(transfer, transfers)):
             transfers.append(transfer)
-        if len(transfers) >= MOST_JOINS:
+        if len(transfers) >= MAX_RANGE_MERGES:
             break
     return transfers
 
 
-def plan_leave(item: keyranges.KeyRange, ranges: Iterable[keyranges.KeyRange],
-               loads: keyloads.KeyLoads,
-               capacities: Mapping[str, float]) -> list[Transfer]:
+def plan_departure(item: keyranges.KeyRange,
+                   ranges: Iterable[keyranges.KeyRange],
+                   loads: keyloads.KeyLoads,
+                   capacities: Mapping[str, float]) -> list[Transfer]:
     """Plans where the keys of a server that leaves go.
 
     Args:
@@ -263,9 +266,12 @@
     """
     held = _measure_servers(ranges, loads, capacities)
     share = loads.total / len(capacities)
-    pieces = round(loads.measure(item.first, item.last) / share * PIECES)
+    pieces = round(
+        loads.measure(item.first, item.last) / share * PIECES_PER_SERVER)
     pieces = max(
-        1, min(pieces, item.last - item.first + 1, PIECES * len(capacities)))
+        1,
+        min(pieces, item.last - item.first + 1,
+            PIECES_PER_SERVER * len(capacities)))
     transfers = []
     for first, last in loads.cut(item.first, item.last, pieces):
         target = min(held, key=lambda name: held[name] / capacities[name])
@@ -299,14 +305,14 @@
     joins = not any(item.server == target for item in plan.owned)
     room = plan.goals[target] - plan.held[target]
     if joins:
-        room *= JOIN_PART
-    least = 1.0 if joins else SURPLUS_FACTOR
+        room *= JOIN_SHARE_FRACTION
+    least = 1.0 if joins else OVERLOAD_FACTOR
     for source in sorted(ranks, key=ranks.__getitem__, reverse=True):
         if source == target or ranks[source] < least:
             return None
         rest = _find_rest(plan, source)
         surplus = rest if source in plan.taken else rest - plan.goals[source]
-        if not joins and surplus < SURPLUS_DEVIATIONS * rest**0.5:
+        if not joins and surplus < MIN_SURPLUS_DEVIATIONS * rest**0.5:
             continue
         if joins:
             surplus = max(surplus, room / 2)
@@ -324,14 +330,14 @@
 def _pick_keys(plan: _Plan, source: str, target: str,
                amount: float) -> Transfer | None:
     """Picks the narrowest run of the source's keys that carries a load."""
-    pieces = _list_light(plan, source, amount * HEAVY_FACTOR)
+    pieces = _list_light(plan, source, amount * HEAVY_KEY_FACTOR)
     runs = [
         plan.loads.find_run(first, last, amount * 0.9) for first, last in pieces
     ]
     best = min(filter(None, runs), key=keyloads.find_width, default=None)
     if best is None:
         return _pick_widest(plan, pieces, source, target, amount)
-    if plan.loads.measure(*best) > amount * HEAVY_FACTOR:
+    if plan.loads.measure(*best) > amount * HEAVY_KEY_FACTOR:
         return None
     return Transfer(best[0], best[1], source, target)
 
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -35,7 +35,7 @@
         return
     if _is_replaced(context, state.predecessor,
                     state.predecessor_save_revision):
-        coordination.note_predecessor_ended(state, now)
+        coordination.handle_predecessor_ended(state, now)
     servers = {
         item.id: item
         for item in owned.servers.values()
@@ -49,7 +49,7 @@
             ratelimits.list_rates(context.forwarder.rate_limits)),
         role.measured.list_works(servers.values()))
     known = len(state.moves)
-    for action in coordination.plan(state, view, now):
+    for action in coordination.plan_actions(state, view, now):
         _carry_out(context, state, action)
     if len(state.moves) > known:
         _log_moves(context, state, view, len(state.moves) - known)
@@ -60,8 +60,8 @@
 
 def _log_moves(context: beliefs.Context, state: ownership.Coordination,
                view: ownership.ServiceView, count: int) -> None:
-    found = rebalancing.measure_evenness(state.assignment.ranges, view.loads,
-                                         view.capacities)
+    found = rebalancing.measure_imbalance(state.assignment.ranges, view.loads,
+                                          view.capacities)
     context.logger.info('moves_planned',
                         service=state.assignment.service,
                         planned=count,
@@ -106,7 +106,7 @@
     elif isinstance(action, ownership.Probe):
         context.call(
             lambda: context.platform.servers.probe(action),
-            lambda result, sent: coordination.note_probed(
+            lambda result, sent: coordination.handle_probe_result(
                 state, action, result, context.clock.now()),
             context.server_calls)
     else:
@@ -140,7 +140,7 @@
              grant: ownership.Grant, granted: ownership.GrantResult,
              sent_at: float) -> None:
     now = context.clock.now()
-    coordination.note_granted(state, grant, granted, sent_at, now)
+    coordination.handle_grant_result(state, grant, granted, sent_at, now)
     if granted.answer is ownership.CallOutcome.UNKNOWN:
         in_force_ms = holds.compute_expiry(now, grant.hold_ms) - now
         context.logger.warning('grant_unanswered',
@@ -163,8 +163,8 @@
 def _released(context: beliefs.Context, state: ownership.Coordination,
               release: ownership.Release, answer: ownership.CallOutcome,
               token: str) -> None:
-    coordination.note_released(state, release, answer, token,
-                               context.clock.now())
+    coordination.handle_release_result(state, release, answer, token,
+                                       context.clock.now())
     context.logger.info('keys_released',
                         server=release.server.id,
                         first=release.item.first,
@@ -189,7 +189,7 @@
 def _saved(context: beliefs.Context, state: ownership.Coordination,
            save: ownership.Save, result) -> None:
     if not isinstance(result, outcomes.Failed):
-        coordination.note_saved(state, save, result)
+        coordination.handle_saved(state, save, result)
         context.logger.info('assignment_saved',
                             service=save.service,
                             revision=revisions.show(result),
@@ -202,7 +202,7 @@
         state.lost = True
     refused = result.reason not in (outcomes.Reason.TIMED_OUT,
                                     outcomes.Reason.CONNECTION_LOST)
-    coordination.note_not_saved(state, refused, context.clock.now())
+    coordination.handle_save_failure(state, refused, context.clock.now())
     context.logger.warning('assignment_not_saved',
                            service=save.service,
                            reason=result.reason.value)
--- a/tests/edgeworlds.py
+++ b/tests/edgeworlds.py
@@ -110,10 +110,11 @@
         self.queue_ms = 0.0
         for _ in range(servers):
             self.add_server()
-        first = coordination.make_first(SERVICE, self.list_servers())
+        first = coordination.make_first_assignment(SERVICE, self.list_servers())
         self.saved, self.revision = first, 1
         self.coordinators = [
-            CoordinatorModel(coordination.begin(first, 1, 0.0, None), 0.0)
+            CoordinatorModel(
+                coordination.start_coordination(first, 1, 0.0, None), 0.0)
         ]
         self.breaches: list[str] = []
 
@@ -178,7 +179,7 @@
 
     def take_over(self) -> None:
         """Another coordinator takes the role; the old one may go on."""
-        following = coordination.make_next(self.saved)
+        following = coordination.make_next_assignment(self.saved)
         self.revision += 1
         self.saved = following
         for item in self.coordinators:
@@ -187,8 +188,8 @@
             item.sees_store = False
         self.coordinators.append(
             CoordinatorModel(
-                coordination.begin(following, self.revision, self.now, 'old.1'),
-                self.now))
+                coordination.start_coordination(following, self.revision,
+                                                self.now, 'old.1'), self.now))
 
     def owner_count(self, key: int) -> int:
         """Returns how many servers hold a key."""
@@ -202,7 +203,8 @@
             return
         if self.now - item.kept_at > ownership.MAX_OFFLINE_MS:
             return
-        for action in coordination.plan(item.state, self._view(), self.now):
+        for action in coordination.plan_actions(item.state, self._view(),
+                                                self.now):
             self._carry_out(item, action)
 
     def _view(self) -> ownership.ServiceView:
@@ -251,9 +253,9 @@
         draw = self.random.random()
 
         def note(answer, link=None):
-            coordination.note_granted(state, action,
-                                      ownership.GrantResult(answer, link), sent,
-                                      self.now)
+            coordination.handle_grant_result(
+                state, action, ownership.GrantResult(answer, link), sent,
+                self.now)
 
         if (self.now - action.planned_at > ownership.MAX_GRANT_AGE_MS or
                 action.link is None and
@@ -343,7 +345,8 @@
                               action.item)
 
         def note(answer, token):
-            coordination.note_released(state, action, answer, token, self.now)
+            coordination.handle_release_result(state, action, answer, token,
+                                               self.now)
 
         if not model.up or not model.reachable:
             self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT, ''))
@@ -362,7 +365,7 @@
         model, state = self.find_listening(action.server.id), item.state
 
         def note(answer):
-            coordination.note_probed(state, action, answer, self.now)
+            coordination.handle_probe_result(state, action, answer, self.now)
 
         if not model.up or not model.reachable:
             self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT))
@@ -387,9 +390,9 @@
             else:
                 item.state.lost |= item.sees_store
             if done:
-                coordination.note_saved(item.state, action, self.revision)
+                coordination.handle_saved(item.state, action, self.revision)
             else:
-                coordination.note_not_saved(item.state, True, self.now)
+                coordination.handle_save_failure(item.state, True, self.now)
 
         self._after(5, apply)
 
--- a/tests/orderworlds.py
+++ b/tests/orderworlds.py
@@ -211,7 +211,8 @@
             addresses={first: ADDRESSES[0]})
         self.revision = 1
         self.coordinators.append(
-            Coordinator(coordination.begin(self.saved, 1, 0.0, None), 0.0))
+            Coordinator(
+                coordination.start_coordination(self.saved, 1, 0.0, None), 0.0))
         self.follow_store()
 
     def copy(self) -> 'World':
@@ -466,8 +467,8 @@
                       action=action))
             return
         answer = _Answer.NOT_SENT if process is None else _Answer.DONE
-        coordination.note_probed(self.coordinators[index].state, action, answer,
-                                 self.now)
+        coordination.handle_probe_result(self.coordinators[index].state, action,
+                                         answer, self.now)
 
     def _save(self, index, action, fate) -> None:
         coordinator = self.coordinators[index]
@@ -479,9 +480,9 @@
         elif coordinator.sees_store and action.revision != self.revision:
             coordinator.state.lost = True
         if done:
-            coordination.note_saved(coordinator.state, action, self.revision)
+            coordination.handle_saved(coordinator.state, action, self.revision)
         else:
-            coordination.note_not_saved(coordinator.state, True, self.now)
+            coordination.handle_save_failure(coordinator.state, True, self.now)
 
     # What happens when its time has come.
 
@@ -567,8 +568,8 @@
 
     def _do_end_probe(self, event: Event) -> None:
         coordinator = self.coordinators[event.coordinator]
-        coordination.note_probed(coordinator.state, event.action,
-                                 _Answer.UNKNOWN, self.now)
+        coordination.handle_probe_result(coordinator.state, event.action,
+                                         _Answer.UNKNOWN, self.now)
 
     def _do_heal(self, event: Event) -> None:
         self.cut -= {(event.coordinator, event.name)}
@@ -589,14 +590,14 @@
         self.drop_process(event.name)
 
     def _note_grant(self, index, action, answer, link, sent_at) -> None:
-        coordination.note_granted(self.coordinators[index].state, action,
-                                  ownership.GrantResult(answer, link), sent_at,
-                                  self.now)
+        coordination.handle_grant_result(self.coordinators[index].state, action,
+                                         ownership.GrantResult(answer, link),
+                                         sent_at, self.now)
 
     def _note_released(self, index, action, answer) -> None:
         token = 'token' if answer is _Answer.DONE else ''
-        coordination.note_released(self.coordinators[index].state, action,
-                                   answer, token, self.now)
+        coordination.handle_release_result(self.coordinators[index].state,
+                                           action, answer, token, self.now)
 
     def _add(self, event: Event) -> None:
         index = next((index for index, item in enumerate(self.events)
@@ -680,14 +681,15 @@
         before = self.coordinators[-1]
         before.sees_store, before.up = False, goes_on
         before.kept_at = self.now - ownership.COORDINATOR_LEASE_MS
-        self.saved = coordination.make_next(self.saved)
+        self.saved = coordination.make_next_assignment(self.saved)
         self.revision += 1
-        state = coordination.begin(self.saved, self.revision, self.now, 'one.1')
+        state = coordination.start_coordination(self.saved, self.revision,
+                                                self.now, 'one.1')
         coordinator = Coordinator(state, self.now)
         if knows:
             coordinator.known, coordinator.ended = before.known, before.ended
             if not goes_on:
-                coordination.note_predecessor_ended(state, self.now)
+                coordination.handle_predecessor_ended(state, self.now)
         self.coordinators.append(coordinator)
         self.follow_store()
 
@@ -700,8 +702,10 @@
             if coordinator.sees_store:
                 coordinator.kept_at = self.now
             if coordinator.is_active(self.now):
-                decided += [(index, action) for action in coordination.plan(
-                    coordinator.state, self._view(coordinator), self.now)]
+                decided += [
+                    (index, action) for action in coordination.plan_actions(
+                        coordinator.state, self._view(coordinator), self.now)
+                ]
         return decided
 
     def _view(self, coordinator: Coordinator) -> ownership.ServiceView:
--- a/tests/restoreworlds.py
+++ b/tests/restoreworlds.py
@@ -73,7 +73,7 @@
 
     def _notice(self, item: edgeworlds.CoordinatorModel) -> None:
         if item.up and item.sees_store and item.state.era < self.era:
-            coordination.note_restored(
+            coordination.handle_store_restored(
                 item.state, revisions.combine(self.era, self.number_saved),
                 revisions.combine(self.era, self.saved_number))
 
@@ -101,12 +101,12 @@
         revision = revisions.combine(self.era, self.saved_number)
         self.coordinators.append(
             edgeworlds.CoordinatorModel(
-                coordination.begin(plan.assignment,
-                                   revision,
-                                   self.now,
-                                   plan.predecessor,
-                                   may_lack_moves=plan.may_lack_moves),
-                self.now))
+                coordination.start_coordination(
+                    plan.assignment,
+                    revision,
+                    self.now,
+                    plan.predecessor,
+                    may_lack_moves=plan.may_lack_moves), self.now))
 
     def _save(self, item, action: ownership.Save) -> None:
 
@@ -118,11 +118,11 @@
                 self.number_saved += 1
                 self.saved_number = self.number_saved
                 self.saved = action.assignment
-                coordination.note_saved(
+                coordination.handle_saved(
                     item.state, action,
                     revisions.combine(self.era, self.saved_number))
                 return
             item.state.lost |= item.sees_store and known == self.era
-            coordination.note_not_saved(item.state, True, self.now)
+            coordination.handle_save_failure(item.state, True, self.now)
 
         self._after(5, apply)
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -134,13 +134,14 @@
     def test_no_grant_is_longer_than_what_the_operator_allows(self):
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
-        state = coordination.begin(assignment, 1, 0.0, None, 1_200.0)
+        state = coordination.start_coordination(assignment, 1, 0.0, None,
+                                                1_200.0)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
         view = ownership.ServiceView({'a': server}, frozenset(), {},
                                      keyloads.KeyLoads({}), {})
-        grant, = coordination.plan(state, view, 0.0)
+        grant, = coordination.plan_actions(state, view, 0.0)
         self.assertEqual(grant.hold_ms, 1_200.0)
-        coordination.note_granted(
+        coordination.handle_grant_result(
             state, grant, ownership.GrantResult(ownership.CallOutcome.DONE),
             0.0, 1.0)
         self.assertLess(state.renewals[grant.item].due_at, 400.0)
@@ -182,8 +183,8 @@
         world.servers['s2'].up = world.servers['s2'].listed = False
         world.take_over()
         world.coordinators[0].up = False
-        coordination.note_predecessor_ended(world.coordinators[1].state,
-                                            world.now)
+        coordination.handle_predecessor_ended(world.coordinators[1].state,
+                                              world.now)
         world.run(ownership.HOLD_MS * 1.03 + 500)
         self.assertTrue(_covered(world))
 
@@ -225,20 +226,20 @@
     def test_a_refusal_of_what_was_joined_since_is_no_loss_of_the_role(self):
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
-        state = coordination.begin(assignment, 1, 0.0, None)
+        state = coordination.start_coordination(assignment, 1, 0.0, None)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
         grant = ownership.Grant('stock', server,
                                 edgeworlds.make_range(0, 4, 'a', 1), 1, 4_000,
                                 '')
         state.sent.append(grant.item)
-        coordination.note_granted(
+        coordination.handle_grant_result(
             state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
             0.0, 1.0)
         self.assertFalse(state.lost)
         grant = ownership.Grant('stock', server, assignment.ranges[0], 2, 4_000,
                                 '')
         state.sent.append(grant.item)
-        coordination.note_granted(
+        coordination.handle_grant_result(
             state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
             0.0, 1.0)
         self.assertTrue(state.lost)
@@ -365,12 +366,12 @@
                 name: entry for name, entry in servers.items() if name != 's2'
             }, ended, {'s2': servers['s2']}, keyloads.KeyLoads({}), {})
         until = holds.find_expiry(state.held, 's2', 0, tables.KEYS)
-        actions = coordination.plan(state, view, world.now)
+        actions = coordination.plan_actions(state, view, world.now)
         self.assertEqual(holds.find_expiry(state.held, 's2', 0, tables.KEYS),
                          until)
         self.assertFalse(
             any(isinstance(item, ownership.Save) for item in actions))
-        actions = coordination.plan(state, view, until)
+        actions = coordination.plan_actions(state, view, until)
         self.assertTrue(
             any(isinstance(item, ownership.Save) for item in actions))
 
@@ -421,13 +422,14 @@
         """Returns until when keys count as held that were granted at 0."""
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
-        state = coordination.begin(assignment, 1, 0.0, None)
+        state = coordination.start_coordination(assignment, 1, 0.0, None)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
         view = ownership.ServiceView({'a': server}, frozenset(), {},
                                      keyloads.KeyLoads({}), {})
-        grant, = coordination.plan(state, view, 0.0)
-        coordination.note_granted(state, grant,
-                                  ownership.GrantResult(answer, 1), 0.0, now)
+        grant, = coordination.plan_actions(state, view, 0.0)
+        coordination.handle_grant_result(state, grant,
+                                         ownership.GrantResult(answer, 1), 0.0,
+                                         now)
         return holds.find_expiry(state.held, 'a', 0, 9)
 
     def test_one_that_is_answered_late_counts_from_its_answer(self):
--- a/tests/test_edge_fences.py
+++ b/tests/test_edge_fences.py
@@ -42,27 +42,30 @@
                     self.model.grant(grant.item.first, grant.item.last,
                                      grant.fence, grant.hold_ms, now, now),
                     link)
-            coordination.note_granted(state, grant, granted, now, now)
+            coordination.handle_grant_result(state, grant, granted, now, now)
 
     def test_a_join_is_not_saved_below_a_fence_that_was_used_meanwhile(self):
         ranges = (keyranges.KeyRange(0, 99, 'a',
                                      2), keyranges.KeyRange(100, 199, 'a', 3),
                   keyranges.KeyRange(200, tables.KEYS - 1, 'gone', 4))
-        state = coordination.begin(keyranges.Assignment('stock', 1, 5, ranges),
-                                   1, 0.0, None)
+        state = coordination.start_coordination(
+            keyranges.Assignment('stock', 1, 5, ranges), 1, 0.0, None)
         view = _make_view('a', 'c')
-        actions = coordination.plan(state, view, 0.0)
+        actions = coordination.plan_actions(state, view, 0.0)
         save = next(x for x in actions if isinstance(x, ownership.Save))
         self._answer(state, actions, 1.0, 1)
         for now in (5.0, 10.0):
-            self._answer(state, coordination.plan(state, view, now), now, 1)
+            self._answer(state, coordination.plan_actions(state, view, now),
+                         now, 1)
         # The store answers after 0.8 s. The connection ended meanwhile.
         for now in (770.0, 775.0, 780.0, 785.0):
-            self._answer(state, coordination.plan(state, view, now), now, 2)
+            self._answer(state, coordination.plan_actions(state, view, now),
+                         now, 2)
         self.assertFalse(state.lost)
-        coordination.note_saved(state, save, 2)
+        coordination.handle_saved(state, save, 2)
         for now in (805.0, 810.0, 815.0):
-            self._answer(state, coordination.plan(state, view, now), now, 2)
+            self._answer(state, coordination.plan_actions(state, view, now),
+                         now, 2)
         self.assertFalse(state.lost)
 
 
@@ -71,13 +74,13 @@
 
     def test_a_fence_stays_with_the_connection_that_carried_it_first(self):
         ranges = (keyranges.KeyRange(0, tables.KEYS - 1, 'a', 2),)
-        state = coordination.begin(keyranges.Assignment('stock', 1, 3, ranges),
-                                   1, 0.0, None)
+        state = coordination.start_coordination(
+            keyranges.Assignment('stock', 1, 3, ranges), 1, 0.0, None)
         view = _make_view('a', 'b')
-        grant, = coordination.plan(state, view, 0.0)
-        coordination.note_granted(state, grant,
-                                  ownership.GrantResult(_Answer.DONE, 1), 0.0,
-                                  1.0)
+        grant, = coordination.plan_actions(state, view, 0.0)
+        coordination.handle_grant_result(state, grant,
+                                         ownership.GrantResult(_Answer.DONE, 1),
+                                         0.0, 1.0)
         renewal = state.renewals[ranges[0]]
         ownership.replace_fence(state, renewal, 1)
         renewal.due_at = 0.0
@@ -86,18 +89,18 @@
             ownership.Move(rebalancing.Transfer(100, 200, 'a', 'b'),
                            ownership.Phase.RELEASING, 0.0))
         state.balanced_at = 1e9
-        one, two = coordination.plan(state, view, 10.0)
+        one, two = coordination.plan_actions(state, view, 10.0)
         self.assertEqual((one.fence, one.link), (two.fence, two.link))
         # Its process ended, and another one started, between the two.
-        coordination.note_granted(state, one,
-                                  ownership.GrantResult(_Answer.DONE, 7), 10.0,
-                                  11.0)
-        coordination.note_granted(state, two,
-                                  ownership.GrantResult(_Answer.DONE, 8), 10.0,
-                                  12.0)
+        coordination.handle_grant_result(state, one,
+                                         ownership.GrantResult(_Answer.DONE, 7),
+                                         10.0, 11.0)
+        coordination.handle_grant_result(state, two,
+                                         ownership.GrantResult(_Answer.DONE, 8),
+                                         10.0, 12.0)
         renewal.due_at = 0.0
         again = [
-            x for x in coordination.plan(state, view, 20.0)
+            x for x in coordination.plan_actions(state, view, 20.0)
             if isinstance(x, ownership.Grant) and x.item == one.item
         ]
         # What connection 7 carried must not go to the process behind 8.
--- a/tests/test_edge_orders.py
+++ b/tests/test_edge_orders.py
@@ -161,7 +161,7 @@
         return '\n'.join(report.traces[breach])
 
     def test_holds_that_count_from_the_sending(self):
-        note, find_end = coordination.note_granted, holds.compute_expiry
+        note, find_end = coordination.handle_grant_result, holds.compute_expiry
 
         def note_early(state, grant, granted, sent_at, now):
             with mock.patch.object(
@@ -171,7 +171,7 @@
 
         course = self._find(_make_hunt(
             ('cut',), (_Fate.LATE_UNANSWERED,)), _Breach.HOLDERS,
-                            [(coordination, 'note_granted', note_early)])
+                            [(coordination, 'handle_grant_result', note_early)])
         self.assertIn('just before it is given up', course)
         self.assertIn('a1 and b1 hold the key', course)
 
--- a/tests/test_edge_rebalancing.py
+++ b/tests/test_edge_rebalancing.py
@@ -80,7 +80,7 @@
     def test_the_server_that_has_it_gives_other_keys_away(self):
         ranges = self._settle()
         rest = self.loads.total - 60.0
-        capacity = sum(speed**rebalancing.SPEED_POWER
+        capacity = sum(speed**rebalancing.SPEED_EXPONENT
                        for server, speed in SPEEDS.items()
                        if server != 'fast')
         for server, speed in SPEEDS.items():
@@ -88,17 +88,17 @@
                 self.loads.measure(item.first, item.last)
                 for item in ranges
                 if item.server == server)
-            share = rest * speed**rebalancing.SPEED_POWER / capacity
+            share = rest * speed**rebalancing.SPEED_EXPONENT / capacity
             most = 60.0 if server == 'fast' else share
             self.assertLess(load, most * 1.1 + most**0.5)
 
     def test_the_log_can_tell_that_one_key_is_the_cause(self):
-        found = rebalancing.measure_evenness(self.ranges, self.loads, SPEEDS)
+        found = rebalancing.measure_imbalance(self.ranges, self.loads, SPEEDS)
         self.assertEqual((found.heaviest_key, found.heaviest_load), (HOT, 60.0))
         owner = keyranges.find_range(self.ranges, HOT).server
         self.assertEqual(found.busiest, owner)
         self.assertGreater(found.ratio, 3.0)
-        empty = rebalancing.measure_evenness([], keyloads.KeyLoads({}), {})
+        empty = rebalancing.measure_imbalance([], keyloads.KeyLoads({}), {})
         self.assertEqual((empty.busiest, empty.heaviest_key), ('', -1))
 
     def test_it_stays_where_no_server_is_much_faster(self):
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -148,7 +148,7 @@
         for limits in ({'a': 5.0}, {'a': 5.0, 'b': 10.0}, {'a': 0.0}):
             found = table.capacities(servers, now, limits)
             weights = {
-                name: capacity**rebalancing.SPEED_POWER
+                name: capacity**rebalancing.SPEED_EXPONENT
                 for name, capacity in found.items()
             }
             for name, rate in limits.items():
@@ -203,8 +203,11 @@
                 _range(number * 1_000 + 990, number * 1_000 + 999,
                        'ba'[number % 2], 2))
         load = keyloads.KeyLoads({})
-        joins = rebalancing.plan_joins(ranges, load, {'a': 1.0, 'b': 1.0})
-        self.assertEqual(len(joins), rebalancing.MOST_JOINS)
+        joins = rebalancing.plan_range_merges(ranges, load, {
+            'a': 1.0,
+            'b': 1.0
+        })
+        self.assertEqual(len(joins), rebalancing.MAX_RANGE_MERGES)
         for item in joins:
             self.assertEqual(item.last - item.first, 9)
 
--- a/tests/test_edge_saves.py
+++ b/tests/test_edge_saves.py
@@ -41,13 +41,13 @@
                 name: item.entry for name, item in self.models.items()
             }, frozenset(), {}, keyloads.KeyLoads({}), {})
         saves = []
-        for action in coordination.plan(state, view, now):
+        for action in coordination.plan_actions(state, view, now):
             if isinstance(action, ownership.Save):
                 saves.append(action)
             elif isinstance(action, ownership.Probe):
                 answer = (ownership.CallOutcome.UNKNOWN
                           if self.cut else ownership.CallOutcome.DONE)
-                coordination.note_probed(state, action, answer, now)
+                coordination.handle_probe_result(state, action, answer, now)
             elif isinstance(action, ownership.Grant):
                 model = self.models[action.server.id]
                 if self.cut and action.server.id == 'a':
@@ -57,7 +57,8 @@
                     granted = ownership.GrantResult(
                         model.grant(action.item.first, action.item.last,
                                     action.fence, action.hold_ms, now, now), 1)
-                coordination.note_granted(state, action, granted, now, now)
+                coordination.handle_grant_result(state, action, granted, now,
+                                                 now)
         for key in (0, 100):
             owners = [n for n, m in self.models.items() if m.holds(key, now)]
             if len(owners) > 1:
@@ -67,8 +68,8 @@
     def test_the_successor_gives_no_key_away_that_its_owner_got_back(self):
         ranges = (keyranges.KeyRange(0, 999, 'a', 2),
                   keyranges.KeyRange(1000, tables.KEYS - 1, 'b', 3))
-        state = coordination.begin(keyranges.Assignment('stock', 1, 4, ranges),
-                                   1, 0.0, None)
+        state = coordination.start_coordination(
+            keyranges.Assignment('stock', 1, 4, ranges), 1, 0.0, None)
         state.balanced_at = 1e9
         now, saves = 0.0, []
         while now < 1_000:
@@ -86,15 +87,15 @@
         while now < until:
             now += 20.0
             self._step(state, now)
-        coordination.note_not_saved(state, False, now)
+        coordination.handle_save_failure(state, False, now)
         resent = []
         for _ in range(40):
             now += 20.0
             resent += self._step(state, now)
         self.assertTrue(resent)
         # Another entry takes over, or this one anew: it reads what is stored.
-        following = coordination.begin(coordination.make_next(stored, 'x.2'), 3,
-                                       now, 'x.1')
+        following = coordination.start_coordination(
+            coordination.make_next_assignment(stored, 'x.2'), 3, now, 'x.1')
         following.balanced_at = 1e9
         for _ in range(20):
             now += 20.0
--- a/tests/test_platform_grants.py
+++ b/tests/test_platform_grants.py
@@ -82,7 +82,7 @@
         self.calls = servers.connect_servers(self.clock)
         self.items = _divide(ranges)
         began = self.clock.now()
-        self.state = coordination.begin(
+        self.state = coordination.start_coordination(
             keyranges.Assignment('stock', 1, ranges + 2, self.items), 1, began,
             None)
         self.state.balanced_at = began + 1e9
@@ -99,8 +99,8 @@
         with concurrent.futures.ThreadPoolExecutor(64) as pool:
             while time.monotonic() < until:
                 self._take_in()
-                for action in coordination.plan(self.state, self.view,
-                                                self.clock.now()):
+                for action in coordination.plan_actions(self.state, self.view,
+                                                        self.clock.now()):
                     if isinstance(action, ownership.Grant):
                         pool.submit(self._send, action)
                 time.sleep(0.005)
@@ -109,8 +109,8 @@
         while not self._returned.empty():
             action, granted, sent = self._returned.get()
             self.counts[granted.answer] += 1
-            coordination.note_granted(self.state, action, granted, sent,
-                                      self.clock.now())
+            coordination.handle_grant_result(self.state, action, granted, sent,
+                                             self.clock.now())
 
     def _send(self, action: ownership.Grant) -> None:
         sent = self.clock.now()
