--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -137,7 +137,7 @@
         if grant.server.id in self.silent:
             self._took_ms = SILENT_MS
             return ownership.GrantResult(ownership.CallOutcome.UNKNOWN, 1)
-        first, last = grant.item.first, grant.item.last
+        first, last = grant.key_range.first, grant.key_range.last
         self.granted[first:last + 1] = [(grant.server.id, self._time.at)
                                        ] * (last + 1 - first)
         return ownership.GrantResult(ownership.CallOutcome.DONE, 1)
--- a/benchmarks/edge_slopes.py
+++ b/benchmarks/edge_slopes.py
@@ -60,7 +60,7 @@
     ranges = keyranges.divide_by_weight(names, {}, 1)
     state = coordination.start_coordination(
         keyranges.Assignment('x', 1, 2, ranges), 1, 0.0, None)
-    state.balanced_at = 1.0
+    state.rebalanced_at = 1.0
     for item in coordination.plan_actions(state, view, 1.0):
         coordination.handle_grant_result(
             state, item, ownership.GrantResult(ownership.CallOutcome.DONE), 1.0,
--- a/lentilmoor/edge/coordination.py
+++ b/lentilmoor/edge/coordination.py
@@ -143,7 +143,7 @@
         latest = (now + ownership.MAX_OFFLINE_MS + ownership.POOL_TIMEOUT_MS +
                   ownership.GRANT_TIMEOUT_MS)
         until = holds.compute_expiry(latest, state.hold_ms)
-        state.held = [
+        state.server_holds = [
             # Under the fences of earlier coordinators, which are lower.
             holds.Hold(item.first, item.last, item.server, item.fence - 1,
                        until, False) for item in assignment.ranges
@@ -161,8 +161,8 @@
     latest = (now + ownership.COORDINATOR_LEASE_MS + ownership.POOL_TIMEOUT_MS +
               ownership.GRANT_TIMEOUT_MS)
     until = holds.compute_expiry(latest, state.hold_ms)
-    state.since = until
-    state.held.append(
+    state.active_since = until
+    state.server_holds.append(
         holds.Hold(0, tables.KEYS - 1, _UNKNOWN_SERVER, 0, until, False))
     for item in state.assignment.ranges:
         state.renewals[item] = ownership.Renewal(item.fence, due_at=until)
@@ -195,23 +195,23 @@
         return
     state.predecessor = ''
     latest = holds.compute_expiry(now, state.hold_ms)
-    state.held = [
-        dataclasses.replace(item, until=min(item.until, latest))
-        for item in state.held
+    state.server_holds = [
+        dataclasses.replace(item, expires_at=min(item.expires_at, latest))
+        for item in state.server_holds
     ]
 
 
 def plan_actions(state: ownership.Coordination, view: ownership.ServiceView,
                  now: float) -> list[ownership.Action]:
     """Returns what is to be done now."""
-    state.held = holds.drop_expired(state.held, now)
+    state.server_holds = holds.drop_expired(state.server_holds, now)
     for server in view.ended:
         replacement = ownership.find_replacement(state, view, server)
         if replacement is not None:
-            state.held = holds.transfer_to_replacement(state.held, server,
-                                                       replacement)
+            state.server_holds = holds.transfer_to_replacement(
+                state.server_holds, server, replacement)
     for server in view.servers:
-        state.answered.setdefault(server, now)
+        state.answered_at.setdefault(server, now)
     moves.plan_moves(state, view, now)
     actions: list[ownership.Action] = []
     actions += moves.plan_releases(state, view, now)
@@ -233,19 +233,19 @@
       sent_at: When it was sent, ms.
       now: When it was answered or given up, ms; it can't arrive any more.
     """
-    item, answer = grant.item, granted.answer
-    state.sent.remove(item)
+    item, answer = grant.key_range, granted.outcome
+    state.grants_in_flight.remove(item)
     if answer is ownership.CallOutcome.DONE:
         _note_answering(state, item.server, sent_at)
     else:
-        state.proven.discard(item.server)
+        state.responsive.discard(item.server)
     if answer in (ownership.CallOutcome.DONE, ownership.CallOutcome.UNKNOWN):
         _note_hold(state, grant, answer is ownership.CallOutcome.DONE, now)
     renewal = ownership.find_renewal(state, item)
     if answer is ownership.CallOutcome.REFUSED:
         # What was merged or moved since has a higher fence of our own.
-        state.lost |= (item in state.assignment.ranges and
-                       (renewal is None or renewal.fence == grant.fence))
+        state.superseded |= (item in state.assignment.ranges and
+                             (renewal is None or renewal.fence == grant.fence))
     if renewal is not None:
         _note_renewal(state, renewal, grant, granted, sent_at, now)
 
@@ -253,10 +253,10 @@
 def _note_hold(state: ownership.Coordination, grant: ownership.Grant,
                answered: bool, now: float) -> None:
     """Notes what a server may hold by a grant, which may just have arrived."""
-    item = grant.item
+    item = grant.key_range
     until = holds.compute_expiry(now, grant.hold_ms)
-    state.held = holds.add(
-        state.held,
+    state.server_holds = holds.add(
+        state.server_holds,
         holds.Hold(item.first, item.last, item.server, grant.fence, until,
                    answered))
 
@@ -265,21 +265,21 @@
                   grant: ownership.Grant, granted: ownership.GrantResult,
                   sent_at: float, now: float) -> None:
     """Works out when and how keys are granted again."""
-    whole = grant.item in state.renewals
+    whole = grant.key_range in state.renewals
     if whole:
         renewal.pending = False
-    if (granted.answer is ownership.CallOutcome.REFUSED or
+    if (granted.outcome is ownership.CallOutcome.REFUSED or
             renewal.fence != grant.fence):
         return
-    if granted.answer is ownership.CallOutcome.DONE:
+    if granted.outcome is ownership.CallOutcome.DONE:
         _note_renewed(state, renewal, grant, granted.link)
         if whole:
             renewal.due_at = sent_at + grant.hold_ms * ownership.RENEW_FRACTION
         return
-    if granted.answer is not ownership.CallOutcome.NOT_SENT:
+    if granted.outcome is not ownership.CallOutcome.NOT_SENT:
         ownership.replace_fence(state, renewal, granted.link)
     # A new fence needs no wait if the old one was not sent.
-    at_once = (granted.answer is ownership.CallOutcome.UNLINKED and
+    at_once = (granted.outcome is ownership.CallOutcome.UNLINKED and
                renewal.link is None)
     renewal.due_at = now if at_once else now + ownership.GRANT_RETRY_MS
 
@@ -287,8 +287,8 @@
 def _note_renewed(state: ownership.Coordination, renewal: ownership.Renewal,
                   grant: ownership.Grant, link: int | None) -> None:
     """Notes that keys were granted over a connection."""
-    state.tokens.pop(grant.item, None)
-    renewal.answered = True
+    state.handover_tokens.pop(grant.key_range, None)
+    renewal.owner_answered = True
     if renewal.link in (None, link):
         renewal.link = link
     else:
@@ -301,25 +301,26 @@
                           answer: ownership.CallOutcome, token: str,
                           now: float) -> None:
     """Takes in what came of a release."""
-    _note_answer(state, release.item.server, answer, now)
+    _note_answer(state, release.key_range.server, answer, now)
     for move in state.moves:
         transfer = move.transfer
         if (move.phase is not ownership.Phase.RELEASING or
-                transfer.source != release.item.server or
-                transfer.first != release.item.first or
-                transfer.last != release.item.last):
+                transfer.source != release.key_range.server or
+                transfer.first != release.key_range.first or
+                transfer.last != release.key_range.last):
             continue
         move.phase = ownership.Phase.WAIT
         if answer is ownership.CallOutcome.DONE:
-            move.token = token
-            state.held = holds.release(state.held, transfer.source,
-                                       transfer.first, transfer.last)
+            move.handover_token = token
+            state.server_holds = holds.release(state.server_holds,
+                                               transfer.source, transfer.first,
+                                               transfer.last)
 
 
 def handle_probe_result(state: ownership.Coordination, probe: ownership.Probe,
                         answer: ownership.CallOutcome, now: float) -> None:
     """Takes in what came of a probe."""
-    state.probed.discard(probe.server.id)
+    state.probes_in_flight.discard(probe.server.id)
     _note_answer(state, probe.server.id, answer, now)
 
 
@@ -329,15 +330,15 @@
     if answer is ownership.CallOutcome.DONE:
         _note_answering(state, name, now)
     else:
-        state.proven.discard(name)
-        state.unreleased.add(name)
+        state.responsive.discard(name)
+        state.release_suspended.add(name)
 
 
 def _note_answering(state: ownership.Coordination, name: str,
                     at: float) -> None:
-    state.answered[name] = at
-    state.proven.add(name)
-    state.unreleased.discard(name)
+    state.answered_at[name] = at
+    state.responsive.add(name)
+    state.release_suspended.discard(name)
 
 
 def handle_save_failure(state: ownership.Coordination, refused: bool,
@@ -351,11 +352,11 @@
       now: ms.
     """
     state.saving = False
-    state.save_at = now + ownership.SAVE_RETRY_MS
+    state.next_save_at = now + ownership.SAVE_RETRY_MS
     for move in state.moves:
         if move.phase is ownership.Phase.SAVING:
             move.phase = ownership.Phase.WAIT
-            move.unsettled |= not refused
+            move.may_be_saved |= not refused
 
 
 def handle_saved(state: ownership.Coordination, save: ownership.Save,
@@ -377,9 +378,10 @@
             continue
         state.renewals[item] = _make_renewal(state, item, before)
         for move in saved:
-            if move.token and (move.transfer.first,
-                               move.transfer.last) == (item.first, item.last):
-                state.tokens[item] = move.token
+            if move.handover_token and (move.transfer.first,
+                                        move.transfer.last) == (item.first,
+                                                                item.last):
+                state.handover_tokens[item] = move.handover_token
     known = set(save.assignment.ranges)
     for item in list(state.renewals):
         if item not in known:
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -68,7 +68,7 @@
     held = [role for role in owned.roles.values() if role.state]
     if not held or not _find_larger(context):
         return
-    if now - max(role.state.since for role in held) < MAKE_WAY_MS:
+    if now - max(role.state.active_since for role in held) < MAKE_WAY_MS:
         return
     owned.handing_over = 'an entry on a larger machine is there'
     owned.keep_at = 0.0
@@ -213,7 +213,7 @@
     if owned.handing_over:
         role.busy, owned.keep_at = False, 0.0
         return
-    if role.state is not None and not role.state.lost:
+    if role.state is not None and not role.state.superseded:
         role.busy = False
         return
     _begin(context, name, role)
--- a/lentilmoor/edge/holds.py
+++ b/lentilmoor/edge/holds.py
@@ -35,8 +35,8 @@
     last: int
     server: str
     fence: int
-    until: float
-    certain: bool
+    expires_at: float
+    acknowledged: bool
 
 
 def compute_expiry(arrived_by: float, hold_ms: float) -> float:
@@ -53,7 +53,7 @@
                 last: int) -> float:
     """Returns until when a server may hold any of the keys; 0 if it can't."""
     return max(
-        (item.until
+        (item.expires_at
          for item in holds
          if item.server == server and keyranges.overlaps(item, first, last)),
         default=0.0)
@@ -63,7 +63,7 @@
                           last: int) -> float:
     """Returns until when any server but one may hold any of the keys."""
     return max(
-        (item.until
+        (item.expires_at
          for item in holds
          if item.server != server and keyranges.overlaps(item, first, last)),
         default=0.0)
@@ -83,7 +83,8 @@
     for item in holds:
         same = item.server == new.server and keyranges.overlaps(
             item, new.first, new.last)
-        if same and new.certain and (item.certain or item.fence < new.fence):
+        if same and new.acknowledged and (item.acknowledged or
+                                          item.fence < new.fence):
             kept.extend(_outside(item, new.first, new.last))
         else:
             kept.append(item)
@@ -95,7 +96,7 @@
     """Ends what an answered release ends: holds that were answered."""
     kept = []
     for item in holds:
-        if (item.server == server and item.certain and
+        if (item.server == server and item.acknowledged and
                 keyranges.overlaps(item, first, last)):
             kept.extend(_outside(item, first, last))
         else:
@@ -115,14 +116,14 @@
       replacement: Id of the server at its address.
     """
     return [
-        dataclasses.replace(item, server=replacement, certain=False)
+        dataclasses.replace(item, server=replacement, acknowledged=False)
         if item.server == server else item for item in holds
     ]
 
 
 def drop_expired(holds: Iterable[Hold], now: float) -> list[Hold]:
     """Leaves out what has ended."""
-    return [item for item in holds if item.until > now]
+    return [item for item in holds if item.expires_at > now]
 
 
 def _outside(item: Hold, first: int, last: int) -> list[Hold]:
--- a/lentilmoor/edge/moves.py
+++ b/lentilmoor/edge/moves.py
@@ -31,16 +31,16 @@
         return
     state.moves = [
         move for move in state.moves
-        if move.phase is not ownership.Phase.WAIT or move.token or
-        move.unsettled or not _is_back(state, view, move, now)
+        if move.phase is not ownership.Phase.WAIT or move.handover_token or
+        move.may_be_saved or not _is_back(state, view, move, now)
     ]
     _plan_departures(state, view, capacities, now)
     unsure = any(
         move.phase is not ownership.Phase.WAIT for move in state.moves) or any(
             ownership.may_return(state, view, item.server, now)
             for item in state.assignment.ranges)
-    if not unsure and now - state.balanced_at >= ownership.REBALANCE_PERIOD_MS:
-        state.balanced_at = now
+    if not unsure and now - state.rebalanced_at >= ownership.REBALANCE_PAUSE_MS:
+        state.rebalanced_at = now
         _plan_balance(state, view, capacities, now)
 
 
@@ -84,7 +84,7 @@
         transfers = rebalancing.plan_range_merges(owned, view.loads, capacities)
     for transfer in transfers:
         if _is_loose(state, transfer):
-            state.loose.append(transfer)
+            state.pending_regrants.append(transfer)
         else:
             state.moves.append(
                 ownership.Move(transfer, ownership.Phase.RELEASE, now))
@@ -98,15 +98,15 @@
     return (server is not None and not server.draining and
             source not in view.ended and
             not ownership.has_timed_out(state, source, now) and
-            state.answered[source] > move.began_at)
+            state.answered_at[source] > move.planned_at)
 
 
 def _is_loose(state: ownership.Coordination,
               transfer: rebalancing.Transfer) -> bool:
     """Returns whether a grant without an answer would outlast a release."""
-    return any(item.server == transfer.source and not item.certain and
+    return any(item.server == transfer.source and not item.acknowledged and
                keyranges.overlaps(item, transfer.first, transfer.last)
-               for item in state.held)
+               for item in state.server_holds)
 
 
 def _must_move(state: ownership.Coordination, view: ownership.ServiceView,
@@ -116,7 +116,7 @@
         return True
     if not ownership.has_timed_out(state, item.server, now):
         return False
-    return holds.find_expiry(state.held, item.server, item.first,
+    return holds.find_expiry(state.server_holds, item.server, item.first,
                              item.last) <= now
 
 
@@ -128,7 +128,7 @@
         move.transfer.source
         for move in state.moves
         if move.phase is ownership.Phase.RELEASING and
-        move.transfer.source not in state.proven
+        move.transfer.source not in state.responsive
     }
     for move in state.moves:
         if move.phase is not ownership.Phase.RELEASE:
@@ -139,7 +139,7 @@
                                      transfer.last)
         if ownership.has_grant_in_flight(state, transfer):
             continue  # A grant that arrives after the release would undo it.
-        if transfer.source in state.unreleased:
+        if transfer.source in state.release_suspended:
             move.phase = ownership.Phase.WAIT
             continue
         if transfer.source in calling:
@@ -147,12 +147,12 @@
         if server is None or len(pieces) != 1:
             move.phase = ownership.Phase.WAIT
             continue
-        if not holds.find_expiry(state.held, transfer.source, transfer.first,
-                                 transfer.last) > now:
+        if not holds.find_expiry(state.server_holds, transfer.source,
+                                 transfer.first, transfer.last) > now:
             move.phase = ownership.Phase.WAIT
             continue
         move.phase = ownership.Phase.RELEASING
-        if transfer.source not in state.proven:
+        if transfer.source not in state.responsive:
             calling.add(transfer.source)
         actions.append(
             ownership.Release(state.assignment.service, server,
@@ -179,7 +179,7 @@
 def plan_save(state: ownership.Coordination, view: ownership.ServiceView,
               now: float) -> list[ownership.Action]:
     """Returns the save of what may change hands now, or of many new fences."""
-    if state.saving or now < state.save_at:
+    if state.saving or now < state.next_save_at:
         return []
     state.moves = [move for move in state.moves if _is_sound(state, move)]
     waiting = [
@@ -189,7 +189,7 @@
     _redirect(state, view, waiting)
     ready = [
         move for move in waiting if holds.find_expiry_elsewhere(
-            state.held, move.transfer.target, move.transfer.first,
+            state.server_holds, move.transfer.target, move.transfer.first,
             move.transfer.last) <= now
     ]
     for move in ready:
@@ -199,7 +199,7 @@
     laid += _take_loose(state)
     assignment = state.assignment
     # Until it may grant keys, moves of an earlier era may be unknown to it.
-    era = state.era if now >= state.since else assignment.era
+    era = state.era if now >= state.active_since else assignment.era
     unsaved = state.next_fence - assignment.next_fence
     if (not laid and unsaved < ownership.MAX_UNSAVED_FENCES / 2 and
             assignment.era == era):
@@ -225,11 +225,11 @@
 
 def _take_loose(state: ownership.Coordination) -> list[tuple[int, int, str]]:
     """Returns ranges whose owners are to get them under a higher fence."""
-    loose, state.loose = state.loose, []
+    loose, state.pending_regrants = state.pending_regrants, []
     unmoved = ownership.list_unmoved_ranges(state)
     return [(item.first, item.last, item.server)
             for item in unmoved
-            if item.server in state.proven and any(
+            if item.server in state.responsive and any(
                 transfer.source == item.server and
                 keyranges.overlaps(item, transfer.first, transfer.last)
                 for transfer in loose)]
--- a/lentilmoor/edge/ownership.py
+++ b/lentilmoor/edge/ownership.py
@@ -46,7 +46,7 @@
 # needs no save. Its successor begins above them.
 MAX_UNSAVED_FENCES = 100_000
 # Pause between two plans that even out load.
-REBALANCE_PERIOD_MS = 500.0
+REBALANCE_PAUSE_MS = 500.0
 # A server that leaves the list while the store was away may come back for so
 # long after its return.
 RETURN_GRACE_MS = 2_500.0
@@ -78,10 +78,10 @@
 
     service: str
     server: tables.Server
-    item: keyranges.KeyRange
+    key_range: keyranges.KeyRange
     fence: int
     hold_ms: float
-    token: str
+    handover_token: str
     planned_at: float = 0.0
     link: int | None = None
 
@@ -92,7 +92,7 @@
 
     service: str
     server: tables.Server
-    item: keyranges.KeyRange
+    key_range: keyranges.KeyRange
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -143,7 +143,7 @@
       link: Number of the connection that carried it; None if none did.
     """
 
-    answer: CallOutcome
+    outcome: CallOutcome
     link: int | None = None
 
 
@@ -161,9 +161,9 @@
 
     transfer: rebalancing.Transfer
     phase: Phase
-    began_at: float
-    token: str = ''
-    unsettled: bool = False
+    planned_at: float
+    handover_token: str = ''
+    may_be_saved: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -187,7 +187,7 @@
     link: int | None = None
     due_at: float = 0.0
     pending: bool = False
-    answered: bool = False
+    owner_answered: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -229,28 +229,30 @@
 
     assignment: keyranges.Assignment
     revision: int
-    since: float
+    active_since: float
     next_fence: int
     hold_ms: float = HOLD_MS
-    held: list[holds.Hold] = dataclasses.field(default_factory=list)
+    server_holds: list[holds.Hold] = dataclasses.field(default_factory=list)
     renewals: dict[keyranges.KeyRange,
                    Renewal] = dataclasses.field(default_factory=dict)
-    tokens: dict[keyranges.KeyRange,
-                 str] = dataclasses.field(default_factory=dict)
+    handover_tokens: dict[keyranges.KeyRange,
+                          str] = dataclasses.field(default_factory=dict)
     moves: list[Move] = dataclasses.field(default_factory=list)
     saving: bool = False
-    save_at: float = 0.0
+    next_save_at: float = 0.0
     predecessor: str = ''
     predecessor_save_revision: int = 0
-    balanced_at: float = 0.0
-    sent: list[keyranges.KeyRange] = dataclasses.field(default_factory=list)
-    proven: set[str] = dataclasses.field(default_factory=set)
-    unreleased: set[str] = dataclasses.field(default_factory=set)
-    answered: dict[str, float] = dataclasses.field(default_factory=dict)
+    rebalanced_at: float = 0.0
+    grants_in_flight: list[keyranges.KeyRange] = dataclasses.field(
+        default_factory=list)
+    responsive: set[str] = dataclasses.field(default_factory=set)
+    release_suspended: set[str] = dataclasses.field(default_factory=set)
+    answered_at: dict[str, float] = dataclasses.field(default_factory=dict)
     probed_at: float = 0.0
-    probed: set[str] = dataclasses.field(default_factory=set)
-    loose: list[rebalancing.Transfer] = dataclasses.field(default_factory=list)
-    lost: bool = False
+    probes_in_flight: set[str] = dataclasses.field(default_factory=set)
+    pending_regrants: list[rebalancing.Transfer] = dataclasses.field(
+        default_factory=list)
+    superseded: bool = False
     era: int = 0
     restored_revision: int = 0
 
@@ -270,7 +272,7 @@
 
     servers: Mapping[str, tables.Server]
     ended: frozenset[str]
-    left: Mapping[str, tables.Server]
+    departed: Mapping[str, tables.Server]
     loads: keyloads.KeyLoads
     capacities: Mapping[str, float]
     works: Mapping[str, float] = dataclasses.field(default_factory=dict)
@@ -329,7 +331,7 @@
 
     What was granted between its start and the news of it reached this one.
     """
-    old = view.left.get(name)
+    old = view.departed.get(name)
     address = old.address if old else state.assignment.addresses.get(name)
     return next((server.id
                  for server in view.servers.values()
@@ -345,7 +347,7 @@
     the keys of the others unserved for 15 s. It grants them their keys first:
     who answers keeps them.
     """
-    if (now - state.since >= RETURN_GRACE_MS or name in view.servers or
+    if (now - state.active_since >= RETURN_GRACE_MS or name in view.servers or
             name in view.ended):
         return False
     address = state.assignment.addresses.get(name)
@@ -360,15 +362,15 @@
     What an earlier coordinator granted ends for sure only with an answer under
     a higher fence: without it a release saves none of the 15 s of waiting.
     """
-    return now - state.since < RETURN_GRACE_MS and any(
-        hold.server == item.server and not hold.certain and hold.fence <
+    return now - state.active_since < RETURN_GRACE_MS and any(
+        hold.server == item.server and not hold.acknowledged and hold.fence <
         item.fence and keyranges.overlaps(hold, item.first, item.last)
-        for hold in state.held)
+        for hold in state.server_holds)
 
 
 def has_timed_out(state: Coordination, name: str, now: float) -> bool:
     """Returns whether a server has not answered for as long as a hold."""
-    return now - state.answered.get(name, now) > state.hold_ms
+    return now - state.answered_at.get(name, now) > state.hold_ms
 
 
 def list_unmoved_ranges(state: Coordination) -> list[keyranges.KeyRange]:
@@ -392,13 +394,13 @@
     """Returns whether a grant of keys that are to move may still arrive."""
     return any(item.server == transfer.source and
                keyranges.overlaps(item, transfer.first, transfer.last)
-               for item in state.sent)
+               for item in state.grants_in_flight)
 
 
 def find_server(state: Coordination, view: ServiceView,
                 name: str) -> tables.Server | None:
     """Returns a server as it is listed, or as it was last known."""
-    server = view.servers.get(name) or view.left.get(name)
+    server = view.servers.get(name) or view.departed.get(name)
     address = state.assignment.addresses.get(name)
     if server is None and address:
         server = tables.Server(name, state.assignment.service, address, '', 1,
--- a/lentilmoor/edge/renewals.py
+++ b/lentilmoor/edge/renewals.py
@@ -10,7 +10,7 @@
                 now: float) -> list[ownership.Action]:
     """Returns grants that are due."""
     actions: list[ownership.Action] = []
-    calling = {item.server for item in state.sent}
+    calling = {item.server for item in state.grants_in_flight}
     for item in state.assignment.ranges:
         server = view.servers.get(item.server)
         if ownership.may_return(state, view, item.server, now):
@@ -22,7 +22,7 @@
         renewal = state.renewals.setdefault(item, ownership.Renewal(item.fence))
         if renewal.pending or renewal.due_at > now:
             continue
-        if item.server not in state.proven:
+        if item.server not in state.responsive:
             if item.server in calling:
                 continue  # One that doesn't answer must not hold up others.
             calling.add(item.server)
@@ -30,8 +30,8 @@
         if pieces != [item]:
             # A part is on its way out: renewing it would undo the release.
             renewal.due_at = now + ownership.GRANT_RETRY_MS
-            if renewal.answered:
-                state.sent += pieces
+            if renewal.owner_answered:
+                state.grants_in_flight += pieces
                 actions += [
                     _make_grant(state, server, piece, renewal, now)
                     for piece in pieces
@@ -39,7 +39,7 @@
                 renewal.due_at = now + state.hold_ms * ownership.RENEW_FRACTION
             continue
         renewal.pending = True
-        state.sent.append(item)
+        state.grants_in_flight.append(item)
         actions.append(_make_grant(state, server, item, renewal, now))
     return actions
 
@@ -52,7 +52,7 @@
                            item,
                            renewal.fence,
                            _find_hold(state, item, now),
-                           state.tokens.get(item, ''),
+                           state.handover_tokens.get(item, ''),
                            planned_at=now,
                            link=renewal.link)
 
@@ -64,9 +64,10 @@
     One that didn't answer may have taken the grant all the same, and its keys
     can't move before that has run out. What it is sent again adds nothing.
     """
-    if item.server in state.proven:
+    if item.server in state.responsive:
         return state.hold_ms
-    until = holds.find_expiry(state.held, item.server, item.first, item.last)
+    until = holds.find_expiry(state.server_holds, item.server, item.first,
+                              item.last)
     left_ms = holds.compute_longest_hold(until,
                                          now + ownership.GRANT_TIMEOUT_MS)
     if left_ms <= 0:
@@ -90,10 +91,11 @@
         return []
     state.probed_at = now
     silent = [
-        server for name, server in view.servers.items() if
-        name not in state.probed and ownership.has_timed_out(state, name, now)
+        server for name, server in view.servers.items()
+        if name not in state.probes_in_flight and
+        ownership.has_timed_out(state, name, now)
     ]
-    state.probed.update(server.id for server in silent)
+    state.probes_in_flight.update(server.id for server in silent)
     return [
         ownership.Probe(state.assignment.service, server) for server in silent
     ]
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -22,7 +22,7 @@
     if state is None:
         return
     elections.follow_restore(context, name, state)
-    if state.lost:
+    if state.superseded:
         elections.resign(context, name, role,
                          'a server has seen a higher fence')
         return
@@ -141,23 +141,23 @@
              sent_at: float) -> None:
     now = context.clock.now()
     coordination.handle_grant_result(state, grant, granted, sent_at, now)
-    if granted.answer is ownership.CallOutcome.UNKNOWN:
+    if granted.outcome is ownership.CallOutcome.UNKNOWN:
         in_force_ms = holds.compute_expiry(now, grant.hold_ms) - now
         context.logger.warning('grant_unanswered',
                                service=grant.service,
                                server=grant.server.id,
-                               first=grant.item.first,
-                               last=grant.item.last,
+                               first=grant.key_range.first,
+                               last=grant.key_range.last,
                                fence=grant.fence,
                                link=granted.link,
                                took_ms=round(now - sent_at),
                                in_force_ms=round(in_force_ms))
     context.states.note('grant_answer',
                         grant.server.id,
-                        granted.answer,
+                        granted.outcome,
                         service=grant.service,
                         fence=grant.fence,
-                        first=grant.item.first)
+                        first=grant.key_range.first)
 
 
 def _released(context: beliefs.Context, state: ownership.Coordination,
@@ -167,9 +167,9 @@
                                        context.clock.now())
     context.logger.info('keys_released',
                         server=release.server.id,
-                        first=release.item.first,
-                        last=release.item.last,
-                        fence=release.item.fence,
+                        first=release.key_range.first,
+                        last=release.key_range.last,
+                        fence=release.key_range.fence,
                         answer=answer.value,
                         handed_over=bool(token))
 
@@ -199,7 +199,7 @@
     # After a restore the store holds an older assignment than was replaced.
     restored = save.assignment.era < context.platform.store.find_era()
     if result.reason is outcomes.Reason.CONFLICT and not restored:
-        state.lost = True
+        state.superseded = True
     refused = result.reason not in (outcomes.Reason.TIMED_OUT,
                                     outcomes.Reason.CONNECTION_LOST)
     coordination.handle_save_failure(state, refused, context.clock.now())
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -47,7 +47,7 @@
             return _grant_over(pool, link, action, clock)
 
     def release(action: ownership.Release) -> tuple[ownership.CallOutcome, str]:
-        item = action.item
+        item = action.key_range
         fields = {'From': item.first, 'To': item.last, 'fence': item.fence}
         reply = call_release(action.server.address, fields, RELEASE_MS)
         token = ''
@@ -106,13 +106,13 @@
 
 def _encode_grant(action: ownership.Grant) -> bytes:
     fields = {
-        'From': action.item.first,
-        'To': action.item.last,
+        'From': action.key_range.first,
+        'To': action.key_range.last,
         'fence': action.fence,
         'HoldMs': int(action.hold_ms),
     }
-    if action.token:
-        fields['Handover'] = action.token
+    if action.handover_token:
+        fields['Handover'] = action.handover_token
     return json.dumps(fields).encode()
 
 
--- a/tests/edgeworlds.py
+++ b/tests/edgeworlds.py
@@ -199,7 +199,7 @@
     def _step(self, item: CoordinatorModel) -> None:
         if item.sees_store:
             item.kept_at = self.now
-        if not item.up or item.state.lost:
+        if not item.up or item.state.superseded:
             return
         if self.now - item.kept_at > ownership.MAX_OFFLINE_MS:
             return
@@ -249,7 +249,7 @@
 
     def _send_grant(self, item, action) -> None:
         sent, model = self.now, self.find_listening(action.server.id)
-        state, keys = item.state, action.item
+        state, keys = item.state, action.key_range
         draw = self.random.random()
 
         def note(answer, link=None):
@@ -342,7 +342,7 @@
 
     def _release(self, item, action) -> None:
         model, state, keys = (self.find_listening(action.server.id), item.state,
-                              action.item)
+                              action.key_range)
 
         def note(answer, token):
             coordination.handle_release_result(state, action, answer, token,
@@ -388,7 +388,7 @@
                 self.revision += 1
                 self.saved = action.assignment
             else:
-                item.state.lost |= item.sees_store
+                item.state.superseded |= item.sees_store
             if done:
                 coordination.handle_saved(item.state, action, self.revision)
             else:
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -205,7 +205,7 @@
             yield _Step(1, text, new)
     served = bool(world.holders())
     while True:
-        if world.coordinators[-1].state.lost:
+        if world.coordinators[-1].state.superseded:
             world.take_over(False, True)
             yield _Step(0, 'another coordinator begins', world, True)
             return
--- a/tests/orderworlds.py
+++ b/tests/orderworlds.py
@@ -162,7 +162,7 @@
 
     def is_active(self, now: float) -> bool:
         """Returns whether it still decides."""
-        return (self.up and not self.state.lost and
+        return (self.up and not self.state.superseded and
                 now - self.kept_at <= ownership.MAX_OFFLINE_MS)
 
 
@@ -478,7 +478,7 @@
             self.revision += 1
             self.saved = action.assignment
         elif coordinator.sees_store and action.revision != self.revision:
-            coordinator.state.lost = True
+            coordinator.state.superseded = True
         if done:
             coordination.handle_saved(coordinator.state, action, self.revision)
         else:
@@ -749,7 +749,10 @@
             if coordinator.is_active(now):
                 coarse += _list_due(coordinator.state, now)
                 if coordinator.state.moves:
-                    exact += [item.until for item in coordinator.state.held]
+                    exact += [
+                        item.expires_at
+                        for item in coordinator.state.server_holds
+                    ]
         due = min(time for time in coarse if time > now)
         return min(-(-due // GRID_MS) * GRID_MS,
                    *[time for time in exact if time > now])
@@ -788,10 +791,10 @@
         detail = ()
         if isinstance(action, ownership.Grant):
             fences.append(action.fence)
-            fences.append(action.item.fence)
+            fences.append(action.key_range.fence)
             link = self.coordinators[event.coordinator].links.get(
                 action.server.id, (None,))
-            detail = (action.server.id, action.item.server, action.hold_ms,
+            detail = (action.server.id, action.key_range.server, action.hold_ms,
                       event.link is not None, link[0] == event.link,
                       round(self.now - event.sent_at),
                       round(self.now -
@@ -811,14 +814,14 @@
     times = [
         item.due_at for item in state.renewals.values() if not item.pending
     ]
-    for name, at in state.answered.items():
+    for name, at in state.answered_at.items():
         fails_at = at + state.hold_ms + 1.0
         times.append(fails_at)
-        if fails_at <= now and name not in state.probed:
+        if fails_at <= now and name not in state.probes_in_flight:
             times.append(state.probed_at + ownership.PROBE_INTERVAL_MS)
-    times.append(state.since + ownership.RETURN_GRACE_MS)
+    times.append(state.active_since + ownership.RETURN_GRACE_MS)
     if state.moves:
-        times.append(state.save_at)
+        times.append(state.next_save_at)
     return times
 
 
@@ -843,12 +846,13 @@
     new.renewals = {
         item:
             ownership.Renewal(row.fence, row.link, row.due_at, row.pending,
-                              row.answered)
+                              row.owner_answered)
         for item, row in old.renewals.items()
     }
     new.moves = [
-        ownership.Move(row.transfer, row.phase, row.began_at, row.token,
-                       row.unsettled) for row in old.moves
+        ownership.Move(row.transfer, row.phase, row.planned_at,
+                       row.handover_token, row.may_be_saved)
+        for row in old.moves
     ]
     return new
 
@@ -877,7 +881,7 @@
 def _key_coordinator(coordinator: Coordinator, now: float, fences: list[int],
                      revision: int) -> tuple:
     if not coordinator.is_active(now):
-        return (coordinator.up, coordinator.state.lost)
+        return (coordinator.up, coordinator.state.superseded)
     kept = 0.0 if coordinator.sees_store else coordinator.kept_at - now
     return (kept, coordinator.known, coordinator.ended, coordinator.listed,
             tuple((name, link[1]) for name, link in coordinator.links.items()),
@@ -889,34 +893,35 @@
     state = coordinator.state
     fences += [state.next_fence, state.assignment.next_fence]
     fences += [item.fence for item in state.assignment.ranges]
-    held = [item for item in state.held if item.until > now]
+    held = [item for item in state.server_holds if item.expires_at > now]
     fences += [item.fence for item in held]
     fences += [item.fence for item in state.renewals.values()]
-    fences += [item.fence for item in state.sent]
+    fences += [item.fence for item in state.grants_in_flight]
     return (
         tuple(item.server for item in state.assignment.ranges),
         tuple(state.assignment.addresses.items()),
         state.revision == revision,
-        max(-ownership.RETURN_GRACE_MS, state.since - now),
-        tuple((item.server, round(item.until - now, 1), item.certain)
+        max(-ownership.RETURN_GRACE_MS, state.active_since - now),
+        tuple((item.server, round(item.expires_at - now, 1), item.acknowledged)
               for item in held),
         tuple((_key_link(coordinator, item, row),
-               max(0.0, round(row.due_at - now, 1)), row.pending, row.answered)
-              for item, row in state.renewals.items()),
-        bool(state.tokens),
-        tuple((row.transfer, row.phase, bool(row.token), row.unsettled,
-               state.answered.get(row.transfer.source, now) > row.began_at)
+               max(0.0, round(row.due_at - now, 1)), row.pending,
+               row.owner_answered) for item, row in state.renewals.items()),
+        bool(state.handover_tokens),
+        tuple((row.transfer, row.phase,
+               bool(row.handover_token), row.may_be_saved,
+               state.answered_at.get(row.transfer.source, now) > row.planned_at)
               for row in state.moves),
-        max(0.0, state.save_at - now),
+        max(0.0, state.next_save_at - now),
         state.predecessor,
-        tuple(item.server for item in state.sent),
-        frozenset(state.proven),
-        frozenset(state.unreleased),
+        tuple(item.server for item in state.grants_in_flight),
+        frozenset(state.responsive),
+        frozenset(state.release_suspended),
         tuple((name, max(-state.hold_ms - 1.0, at - now))
-              for name, at in state.answered.items()),
+              for name, at in state.answered_at.items()),
         max(-ownership.PROBE_INTERVAL_MS, state.probed_at - now),
-        frozenset(state.probed),
-        tuple(state.loose),
+        frozenset(state.probes_in_flight),
+        tuple(state.pending_regrants),
     )
 
 
--- a/tests/restoreworlds.py
+++ b/tests/restoreworlds.py
@@ -122,7 +122,7 @@
                     item.state, action,
                     revisions.combine(self.era, self.saved_number))
                 return
-            item.state.lost |= item.sees_store and known == self.era
+            item.state.superseded |= item.sees_store and known == self.era
             coordination.handle_save_failure(item.state, True, self.now)
 
         self._after(5, apply)
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -144,7 +144,7 @@
         coordination.handle_grant_result(
             state, grant, ownership.GrantResult(ownership.CallOutcome.DONE),
             0.0, 1.0)
-        self.assertLess(state.renewals[grant.item].due_at, 400.0)
+        self.assertLess(state.renewals[grant.key_range].due_at, 400.0)
 
     def test_a_server_that_answers_again_keeps_what_nobody_got_yet(self):
         # After all entries lost power, keys of servers that were off the list
@@ -231,18 +231,18 @@
         grant = ownership.Grant('stock', server,
                                 edgeworlds.make_range(0, 4, 'a', 1), 1, 4_000,
                                 '')
-        state.sent.append(grant.item)
+        state.grants_in_flight.append(grant.key_range)
         coordination.handle_grant_result(
             state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
             0.0, 1.0)
-        self.assertFalse(state.lost)
+        self.assertFalse(state.superseded)
         grant = ownership.Grant('stock', server, assignment.ranges[0], 2, 4_000,
                                 '')
-        state.sent.append(grant.item)
+        state.grants_in_flight.append(grant.key_range)
         coordination.handle_grant_result(
             state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
             0.0, 1.0)
-        self.assertTrue(state.lost)
+        self.assertTrue(state.superseded)
 
 
 class TakeoverTest(unittest.TestCase):
@@ -365,10 +365,10 @@
             {
                 name: entry for name, entry in servers.items() if name != 's2'
             }, ended, {'s2': servers['s2']}, keyloads.KeyLoads({}), {})
-        until = holds.find_expiry(state.held, 's2', 0, tables.KEYS)
+        until = holds.find_expiry(state.server_holds, 's2', 0, tables.KEYS)
         actions = coordination.plan_actions(state, view, world.now)
-        self.assertEqual(holds.find_expiry(state.held, 's2', 0, tables.KEYS),
-                         until)
+        self.assertEqual(
+            holds.find_expiry(state.server_holds, 's2', 0, tables.KEYS), until)
         self.assertFalse(
             any(isinstance(item, ownership.Save) for item in actions))
         actions = coordination.plan_actions(state, view, until)
@@ -394,7 +394,7 @@
             world = self._make_world(seed)
             hot = world.saved.ranges[0]
             state = world.coordinators[0].state
-            state.held.append(
+            state.server_holds.append(
                 holds.Hold(hot.first, hot.last, hot.server, hot.fence,
                            holds.compute_expiry(world.now, ownership.HOLD_MS),
                            False))
@@ -430,7 +430,7 @@
         coordination.handle_grant_result(state, grant,
                                          ownership.GrantResult(answer, 1), 0.0,
                                          now)
-        return holds.find_expiry(state.held, 'a', 0, 9)
+        return holds.find_expiry(state.server_holds, 'a', 0, 9)
 
     def test_one_that_is_answered_late_counts_from_its_answer(self):
         until = self._note(ownership.CallOutcome.DONE, 390.0)
--- a/tests/test_edge_fences.py
+++ b/tests/test_edge_fences.py
@@ -39,9 +39,9 @@
                 granted = ownership.GrantResult(_Answer.UNLINKED)
             else:
                 granted = ownership.GrantResult(
-                    self.model.grant(grant.item.first, grant.item.last,
-                                     grant.fence, grant.hold_ms, now, now),
-                    link)
+                    self.model.grant(grant.key_range.first,
+                                     grant.key_range.last, grant.fence,
+                                     grant.hold_ms, now, now), link)
             coordination.handle_grant_result(state, grant, granted, now, now)
 
     def test_a_join_is_not_saved_below_a_fence_that_was_used_meanwhile(self):
@@ -61,12 +61,12 @@
         for now in (770.0, 775.0, 780.0, 785.0):
             self._answer(state, coordination.plan_actions(state, view, now),
                          now, 2)
-        self.assertFalse(state.lost)
+        self.assertFalse(state.superseded)
         coordination.handle_saved(state, save, 2)
         for now in (805.0, 810.0, 815.0):
             self._answer(state, coordination.plan_actions(state, view, now),
                          now, 2)
-        self.assertFalse(state.lost)
+        self.assertFalse(state.superseded)
 
 
 class TwoGrantsOfOneFenceTest(unittest.TestCase):
@@ -88,7 +88,7 @@
         state.moves.append(
             ownership.Move(rebalancing.Transfer(100, 200, 'a', 'b'),
                            ownership.Phase.RELEASING, 0.0))
-        state.balanced_at = 1e9
+        state.rebalanced_at = 1e9
         one, two = coordination.plan_actions(state, view, 10.0)
         self.assertEqual((one.fence, one.link), (two.fence, two.link))
         # Its process ended, and another one started, between the two.
@@ -101,7 +101,7 @@
         renewal.due_at = 0.0
         again = [
             x for x in coordination.plan_actions(state, view, 20.0)
-            if isinstance(x, ownership.Grant) and x.item == one.item
+            if isinstance(x, ownership.Grant) and x.key_range == one.key_range
         ]
         # What connection 7 carried must not go to the process behind 8.
         self.assertFalse(again and again[0].fence == one.fence and
--- a/tests/test_edge_restore.py
+++ b/tests/test_edge_restore.py
@@ -112,7 +112,7 @@
         _restore_without_leader(world)
         world.end_leader()
         world.take_over()
-        self.assertGreater(world.leader.state.since, world.now)
+        self.assertGreater(world.leader.state.active_since, world.now)
         world.run(8_000)
         self.assertTrue(_is_served(world))
         self.assertEqual(world.saved.era, world.era)
--- a/tests/test_edge_saves.py
+++ b/tests/test_edge_saves.py
@@ -55,8 +55,9 @@
                         ownership.CallOutcome.NOT_SENT)
                 else:
                     granted = ownership.GrantResult(
-                        model.grant(action.item.first, action.item.last,
-                                    action.fence, action.hold_ms, now, now), 1)
+                        model.grant(action.key_range.first,
+                                    action.key_range.last, action.fence,
+                                    action.hold_ms, now, now), 1)
                 coordination.handle_grant_result(state, action, granted, now,
                                                  now)
         for key in (0, 100):
@@ -70,7 +71,7 @@
                   keyranges.KeyRange(1000, tables.KEYS - 1, 'b', 3))
         state = coordination.start_coordination(
             keyranges.Assignment('stock', 1, 4, ranges), 1, 0.0, None)
-        state.balanced_at = 1e9
+        state.rebalanced_at = 1e9
         now, saves = 0.0, []
         while now < 1_000:
             now += 20.0
@@ -96,7 +97,7 @@
         # Another entry takes over, or this one anew: it reads what is stored.
         following = coordination.start_coordination(
             coordination.make_next_assignment(stored, 'x.2'), 3, now, 'x.1')
-        following.balanced_at = 1e9
+        following.rebalanced_at = 1e9
         for _ in range(20):
             now += 20.0
             self._step(following, now)
--- a/tests/test_platform_grants.py
+++ b/tests/test_platform_grants.py
@@ -85,7 +85,7 @@
         self.state = coordination.start_coordination(
             keyranges.Assignment('stock', 1, ranges + 2, self.items), 1, began,
             None)
-        self.state.balanced_at = began + 1e9
+        self.state.rebalanced_at = began + 1e9
         server = tables.Server('a', 'stock', address, 'd', 2, False, 0.0, 0.0)
         self.view = ownership.ServiceView({'a': server}, frozenset(), {},
                                           keyloads.KeyLoads({}), {})
@@ -108,7 +108,7 @@
     def _take_in(self) -> None:
         while not self._returned.empty():
             action, granted, sent = self._returned.get()
-            self.counts[granted.answer] += 1
+            self.counts[granted.outcome] += 1
             coordination.handle_grant_result(self.state, action, granted, sent,
                                              self.clock.now())
 
