--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -337,8 +337,8 @@
             if (name not in everything.servers and
                     name not in owned.removal_times):
                 suspects.note_unlisted(self._forwarder, owned.servers[name])
-                owned.removal_times[name] = max(now,
-                                                back_at + ownership.RETURN_MS)
+                owned.removal_times[name] = max(
+                    now, back_at + ownership.RETURN_GRACE_MS)
                 owned.servers[name] = dataclasses.replace(owned.servers[name],
                                                           unlisted_at=known_at)
 
--- a/lentilmoor/edge/coordination.py
+++ b/lentilmoor/edge/coordination.py
@@ -32,10 +32,10 @@
 _UNKNOWN_SERVER = ''
 
 
-def make_first(service: str,
-               servers: Mapping[str, tables.Server],
-               author: str = '',
-               era: int = 0) -> keyranges.Assignment:
+def make_first_assignment(service: str,
+                          servers: Mapping[str, tables.Server],
+                          author: str = '',
+                          era: int = 0) -> keyranges.Assignment:
     """Returns the assignment of a service that never had one."""
     ready = [item.id for item in servers.values() if not item.draining]
     fence = keyranges.find_first_fence(era)
@@ -43,15 +43,15 @@
         service,
         1,
         fence + 1,
-        keyranges.divide_evenly(ready, {}, fence),
+        keyranges.divide_by_weight(ready, {}, fence),
         addresses={name: servers[name].address for name in ready},
         author=author,
         era=era)
 
 
-def make_next(before: keyranges.Assignment,
-              author: str = '',
-              era: int = 0) -> keyranges.Assignment:
+def make_next_assignment(before: keyranges.Assignment,
+                         author: str = '',
+                         era: int = 0) -> keyranges.Assignment:
     """Returns the assignment that a new coordinator begins with.
 
     Args:
@@ -60,9 +60,9 @@
       era: The store's era.
     """
     # Its author may have used fences that were not saved.
-    fence = max(before.next_fence + ownership.FENCES_AHEAD,
+    fence = max(before.next_fence + ownership.MAX_UNSAVED_FENCES,
                 keyranges.find_first_fence(era))
-    ranges = keyranges.merge(
+    ranges = keyranges.merge_adjacent(
         structs.replace(item, fence=fence) for item in before.ranges)
     return dataclasses.replace(before,
                                term=before.term + 1,
@@ -102,23 +102,23 @@
     """
     before = keyranges.find_newest(known)
     if before is None:
-        return Succession(make_first(service, servers, author, era), None,
-                          False)
+        return Succession(make_first_assignment(service, servers, author, era),
+                          None, False)
     # Only its author knows all that followed what was saved before a restore.
     may_lack_moves = before.era < era and before.author != author
-    following = make_next(before, author, era)
+    following = make_next_assignment(before, author, era)
     if may_lack_moves:
         # Its own successor may lack them too, until it has waited.
         following = dataclasses.replace(following, era=before.era)
     return Succession(following, before.author, may_lack_moves)
 
 
-def begin(assignment: keyranges.Assignment,
-          revision: int,
-          now: float,
-          predecessor: str | None,
-          longest_ms: float = ownership.HOLD_MS,
-          may_lack_moves: bool = False) -> ownership.Coordination:
+def start_coordination(assignment: keyranges.Assignment,
+                       revision: int,
+                       now: float,
+                       predecessor: str | None,
+                       longest_ms: float = ownership.HOLD_MS,
+                       may_lack_moves: bool = False) -> ownership.Coordination:
     """Returns the state of a coordinator whose assignment was saved.
 
     Args:
@@ -140,10 +140,10 @@
                                            revisions.find_era(revision)))
     if predecessor is not None:
         state.predecessor = predecessor
-        latest = (now + ownership.TENURE_MS + ownership.GRANT_WAIT_MS +
-                  ownership.GRANT_MS)
-        until = holds.find_end(latest, state.hold_ms)
-        state.held = [
+        latest = (now + ownership.MAX_OFFLINE_MS + ownership.POOL_TIMEOUT_MS +
+                  ownership.GRANT_TIMEOUT_MS)
+        until = holds.compute_expiry(latest, state.hold_ms)
+        state.server_holds = [
             # Under the fences of earlier coordinators, which are lower.
             holds.Hold(item.first, item.last, item.server, item.fence - 1,
                        until, False) for item in assignment.ranges
@@ -158,18 +158,18 @@
 
     An earlier coordinator that is up sees within a lease that it is replaced.
     """
-    latest = (now + ownership.LEASE_MS + ownership.GRANT_WAIT_MS +
-              ownership.GRANT_MS)
-    until = holds.find_end(latest, state.hold_ms)
-    state.since = until
-    state.held.append(
+    latest = (now + ownership.COORDINATOR_LEASE_MS + ownership.POOL_TIMEOUT_MS +
+              ownership.GRANT_TIMEOUT_MS)
+    until = holds.compute_expiry(latest, state.hold_ms)
+    state.active_since = until
+    state.server_holds.append(
         holds.Hold(0, tables.KEY_COUNT - 1, _UNKNOWN_SERVER, 0, until, False))
     for item in state.assignment.ranges:
         state.renewals[item] = ownership.Renewal(item.fence, due_at=until)
 
 
-def note_restored(state: ownership.Coordination, revision: int,
-                  saved_revision: int) -> None:
+def handle_store_restored(state: ownership.Coordination, revision: int,
+                          saved_revision: int) -> None:
     """Takes in that the store was restored from an older copy.
 
     What this coordinator saved last may be lost. It goes on with what it knows
@@ -189,28 +189,29 @@
         state.predecessor_save_revision = revision
 
 
-def note_predecessor_ended(state: ownership.Coordination, now: float) -> None:
+def handle_predecessor_ended(state: ownership.Coordination, now: float) -> None:
     """Takes in that the coordinator before can't renew anything any more."""
     if not state.predecessor:
         return
     state.predecessor = ''
-    latest = holds.find_end(now, state.hold_ms)
-    state.held = [
-        dataclasses.replace(item, until=min(item.until, latest))
-        for item in state.held
+    latest = holds.compute_expiry(now, state.hold_ms)
+    state.server_holds = [
+        dataclasses.replace(item, expires_at=min(item.expires_at, latest))
+        for item in state.server_holds
     ]
 
 
-def plan(state: ownership.Coordination, view: ownership.View,
-         now: float) -> list[ownership.Action]:
+def plan_actions(state: ownership.Coordination, view: ownership.ServiceView,
+                 now: float) -> list[ownership.Action]:
     """Returns what is to be done now."""
-    state.held = holds.expire(state.held, now)
+    state.server_holds = holds.drop_expired(state.server_holds, now)
     for server in view.ended:
         replacement = ownership.find_replacement(state, view, server)
         if replacement is not None:
-            state.held = holds.hand_on(state.held, server, replacement)
+            state.server_holds = holds.transfer_to_replacement(
+                state.server_holds, server, replacement)
     for server in view.servers:
-        state.answered.setdefault(server, now)
+        state.answered_at.setdefault(server, now)
     moves.plan_moves(state, view, now)
     actions: list[ownership.Action] = []
     actions += moves.plan_releases(state, view, now)
@@ -220,9 +221,9 @@
     return actions
 
 
-def note_granted(state: ownership.Coordination, grant: ownership.Grant,
-                 granted: ownership.GrantResult, sent_at: float,
-                 now: float) -> None:
+def handle_grant_result(state: ownership.Coordination, grant: ownership.Grant,
+                        granted: ownership.GrantResult, sent_at: float,
+                        now: float) -> None:
     """Takes in what came of a grant.
 
     Args:
@@ -232,19 +233,19 @@
       sent_at: When it was sent, ms.
       now: When it was answered or given up, ms; it can't arrive any more.
     """
-    item, answer = grant.item, granted.answer
-    state.sent.remove(item)
-    if answer is ownership.Answer.DONE:
+    item, answer = grant.key_range, granted.outcome
+    state.grants_in_flight.remove(item)
+    if answer is ownership.CallOutcome.DONE:
         _note_answering(state, item.server, sent_at)
     else:
-        state.proven.discard(item.server)
-    if answer in (ownership.Answer.DONE, ownership.Answer.UNKNOWN):
-        _note_hold(state, grant, answer is ownership.Answer.DONE, now)
+        state.responsive.discard(item.server)
+    if answer in (ownership.CallOutcome.DONE, ownership.CallOutcome.UNKNOWN):
+        _note_hold(state, grant, answer is ownership.CallOutcome.DONE, now)
     renewal = ownership.find_renewal(state, item)
-    if answer is ownership.Answer.REFUSED:
+    if answer is ownership.CallOutcome.REFUSED:
         # What was merged or moved since has a higher fence of our own.
-        state.lost |= (item in state.assignment.ranges and
-                       (renewal is None or renewal.fence == grant.fence))
+        state.superseded |= (item in state.assignment.ranges and
+                             (renewal is None or renewal.fence == grant.fence))
     if renewal is not None:
         _note_renewal(state, renewal, grant, granted, sent_at, now)
 
@@ -252,10 +253,10 @@
 def _note_hold(state: ownership.Coordination, grant: ownership.Grant,
                answered: bool, now: float) -> None:
     """Notes what a server may hold by a grant, which may just have arrived."""
-    item = grant.item
-    until = holds.find_end(now, grant.hold_ms)
-    state.held = holds.add(
-        state.held,
+    item = grant.key_range
+    until = holds.compute_expiry(now, grant.hold_ms)
+    state.server_holds = holds.add(
+        state.server_holds,
         holds.Hold(item.first, item.last, item.server, grant.fence, until,
                    answered))
 
@@ -264,81 +265,84 @@
                   grant: ownership.Grant, granted: ownership.GrantResult,
                   sent_at: float, now: float) -> None:
     """Works out when and how keys are granted again."""
-    whole = grant.item in state.renewals
+    whole = grant.key_range in state.renewals
     if whole:
         renewal.pending = False
-    if (granted.answer is ownership.Answer.REFUSED or
+    if (granted.outcome is ownership.CallOutcome.REFUSED or
             renewal.fence != grant.fence):
         return
-    if granted.answer is ownership.Answer.DONE:
+    if granted.outcome is ownership.CallOutcome.DONE:
         _note_renewed(state, renewal, grant, granted.link)
         if whole:
-            renewal.due_at = sent_at + grant.hold_ms * ownership.RENEW_PART
+            renewal.due_at = sent_at + grant.hold_ms * ownership.RENEW_FRACTION
         return
-    if granted.answer is not ownership.Answer.NOT_SENT:
-        ownership.change_fence(state, renewal, granted.link)
+    if granted.outcome is not ownership.CallOutcome.NOT_SENT:
+        ownership.replace_fence(state, renewal, granted.link)
     # A new fence needs no wait if the old one was not sent.
-    at_once = (granted.answer is ownership.Answer.UNLINKED and
+    at_once = (granted.outcome is ownership.CallOutcome.UNLINKED and
                renewal.link is None)
-    renewal.due_at = now if at_once else now + ownership.AGAIN_MS
+    renewal.due_at = now if at_once else now + ownership.GRANT_RETRY_MS
 
 
 def _note_renewed(state: ownership.Coordination, renewal: ownership.Renewal,
                   grant: ownership.Grant, link: int | None) -> None:
     """Notes that keys were granted over a connection."""
-    state.tokens.pop(grant.item, None)
-    renewal.answered = True
+    state.handover_tokens.pop(grant.key_range, None)
+    renewal.owner_answered = True
     if renewal.link in (None, link):
         renewal.link = link
     else:
         # Another part of the range went over another connection.
-        ownership.change_fence(state, renewal, link)
+        ownership.replace_fence(state, renewal, link)
 
 
-def note_released(state: ownership.Coordination, release: ownership.Release,
-                  answer: ownership.Answer, token: str, now: float) -> None:
+def handle_release_result(state: ownership.Coordination,
+                          release: ownership.Release,
+                          answer: ownership.CallOutcome, token: str,
+                          now: float) -> None:
     """Takes in what came of a release."""
-    _note_answer(state, release.item.server, answer, now)
+    _note_answer(state, release.key_range.server, answer, now)
     for move in state.moves:
         transfer = move.transfer
         if (move.phase is not ownership.Phase.RELEASING or
-                transfer.source != release.item.server or
-                transfer.first != release.item.first or
-                transfer.last != release.item.last):
+                transfer.source != release.key_range.server or
+                transfer.first != release.key_range.first or
+                transfer.last != release.key_range.last):
             continue
         move.phase = ownership.Phase.WAIT
-        if answer is ownership.Answer.DONE:
-            move.token = token
-            state.held = holds.release(state.held, transfer.source,
-                                       transfer.first, transfer.last)
+        if answer is ownership.CallOutcome.DONE:
+            move.handover_token = token
+            state.server_holds = holds.release(state.server_holds,
+                                               transfer.source, transfer.first,
+                                               transfer.last)
 
 
-def note_probed(state: ownership.Coordination, probe: ownership.Probe,
-                answer: ownership.Answer, now: float) -> None:
+def handle_probe_result(state: ownership.Coordination, probe: ownership.Probe,
+                        answer: ownership.CallOutcome, now: float) -> None:
     """Takes in what came of a probe."""
-    state.probed.discard(probe.server.id)
+    state.probes_in_flight.discard(probe.server.id)
     _note_answer(state, probe.server.id, answer, now)
 
 
 def _note_answer(state: ownership.Coordination, name: str,
-                 answer: ownership.Answer, now: float) -> None:
+                 answer: ownership.CallOutcome, now: float) -> None:
     """Takes in whether a server answers a release or a probe."""
-    if answer is ownership.Answer.DONE:
+    if answer is ownership.CallOutcome.DONE:
         _note_answering(state, name, now)
     else:
-        state.proven.discard(name)
-        state.unreleased.add(name)
+        state.responsive.discard(name)
+        state.release_suspended.add(name)
 
 
 def _note_answering(state: ownership.Coordination, name: str,
                     at: float) -> None:
-    state.answered[name] = at
-    state.proven.add(name)
-    state.unreleased.discard(name)
+    state.answered_at[name] = at
+    state.responsive.add(name)
+    state.release_suspended.discard(name)
 
 
-def note_not_saved(state: ownership.Coordination, refused: bool,
-                   now: float) -> None:
+def handle_save_failure(state: ownership.Coordination, refused: bool,
+                        now: float) -> None:
     """Takes in that a save failed.
 
     Args:
@@ -348,15 +352,15 @@
       now: ms.
     """
     state.saving = False
-    state.save_at = now + ownership.SAVE_AGAIN_MS
+    state.next_save_at = now + ownership.SAVE_RETRY_MS
     for move in state.moves:
         if move.phase is ownership.Phase.SAVING:
             move.phase = ownership.Phase.WAIT
-            move.unsettled |= not refused
+            move.may_be_saved |= not refused
 
 
-def note_saved(state: ownership.Coordination, save: ownership.Save,
-               revision: int) -> None:
+def handle_saved(state: ownership.Coordination, save: ownership.Save,
+                 revision: int) -> None:
     """Takes in that an assignment was saved."""
     state.saving = False
     before = set(state.assignment.ranges)
@@ -374,9 +378,10 @@
             continue
         state.renewals[item] = _make_renewal(state, item, before)
         for move in saved:
-            if move.token and (move.transfer.first,
-                               move.transfer.last) == (item.first, item.last):
-                state.tokens[item] = move.token
+            if move.handover_token and (move.transfer.first,
+                                        move.transfer.last) == (item.first,
+                                                                item.last):
+                state.handover_tokens[item] = move.handover_token
     known = set(save.assignment.ranges)
     for item in list(state.renewals):
         if item not in known:
@@ -396,11 +401,11 @@
             kept = dataclasses.replace(renewal, pending=False)
             if renewal.pending:
                 # The grant under way may have used the fence by now.
-                ownership.change_fence(state, kept, renewal.link)
+                ownership.replace_fence(state, kept, renewal.link)
             return kept
     renewal = ownership.Renewal(item.fence)
     if _has_higher_fence(state, item, before):
-        ownership.change_fence(state, renewal, None)
+        ownership.replace_fence(state, renewal, None)
     return renewal
 
 
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -69,7 +69,8 @@
     held = [role for role in owned.roles.values() if role.coordination_state]
     if not held or not _find_larger(context):
         return
-    if now - max(role.coordination_state.since for role in held) < MAKE_WAY_MS:
+    if now - max(role.coordination_state.active_since
+                 for role in held) < MAKE_WAY_MS:
         return
     owned.handover_reason = 'an entry on a larger machine is there'
     owned.lease_due_at = 0.0
@@ -113,8 +114,8 @@
     if revisions.find_era(everything.revision) <= state.era:
         return
     saved = everything.assignments.get(name)
-    coordination.note_restored(state, everything.revision,
-                               saved.revision if saved else 0)
+    coordination.handle_store_restored(state, everything.revision,
+                                       saved.revision if saved else 0)
     context.logger.info('coordination_continued',
                         service=name,
                         revision=revisions.format_revision(everything.revision),
@@ -195,7 +196,7 @@
     lease = owned.coordinator_lease
     sent_at = context.clock.now()
     if lease is None:
-        lease = store.open_lease(ownership.LEASE_MS)
+        lease = store.open_lease(ownership.COORDINATOR_LEASE_MS)
         if isinstance(lease, outcomes.Failed):
             return lease
     taken = store.claim_coordination(name, context.peer, lease, replaced)
@@ -220,7 +221,8 @@
     if owned.handover_reason:
         role.is_call_pending, owned.lease_due_at = False, 0.0
         return
-    if role.coordination_state is not None and not role.coordination_state.lost:
+    if (role.coordination_state is not None and
+            not role.coordination_state.superseded):
         role.is_call_pending = False
         return
     _begin(context, name, role)
@@ -271,7 +273,7 @@
                             revision=revisions.format_revision(result),
                             ranges=len(assignment.ranges))
         role.load_table.seed_work_means(assignment.works)
-        role.coordination_state = coordination.begin(
+        role.coordination_state = coordination.start_coordination(
             assignment, result, context.clock.now(), plan.predecessor,
             context.platform.settings.bounds.hold_max_ms, plan.may_lack_moves)
         role.coordination_state.predecessor_save_revision = revision
--- a/lentilmoor/edge/ownership.py
+++ b/lentilmoor/edge/ownership.py
@@ -16,40 +16,40 @@
 
 # The coordinator's lease. Its successor takes over after the lease has run
 # out, which must leave time to renew grants before they run out in turn.
-LEASE_MS = 1_500.0
+COORDINATOR_LEASE_MS = 1_500.0
 # How long a server holds keys without a renewal. Keys of a server that went
 # silent stay unserved for so long; a coordinator that is lost must be
 # replaced within what a renewal leaves of it.
 HOLD_MS = 3_000.0
 # A hold is renewed when this part of it has passed.
-RENEW_PART = 0.25
+RENEW_FRACTION = 0.25
 # Shortest hold that is granted: a few times the way to a server and back.
-SHORTEST_HOLD_MS = 200.0
+MIN_HOLD_MS = 200.0
 # Time limit of a grant; a server that is up answers at once. After it the
 # connection is reset, so that the grant can't arrive any more.
-GRANT_MS = 400.0
+GRANT_TIMEOUT_MS = 400.0
 # Time limit for getting a free connection, before that of the grant.
-GRANT_WAIT_MS = 400.0
+POOL_TIMEOUT_MS = 400.0
 # Keys whose grant got no answer are granted again after this.
-AGAIN_MS = 300.0
+GRANT_RETRY_MS = 300.0
 # A coordinator that can't reach the store goes on renewing for so long, so
 # that keys stay served through the store's outages, the longest of which took
 # 9 s. A successor counts with it for servers that it can't reach.
-TENURE_MS = 12_000.0
+MAX_OFFLINE_MS = 12_000.0
 # A save that failed is tried again after this.
-SAVE_AGAIN_MS = 300.0
+SAVE_RETRY_MS = 300.0
 # Servers that don't answer are tried again this often.
-PROBE_MS = 1_000.0
+PROBE_INTERVAL_MS = 1_000.0
 # A grant that could not be sent for so long after it was decided is dropped.
-STALE_MS = 500.0
+MAX_GRANT_AGE_MS = 500.0
 # Fences that a coordinator may use beyond the saved ones, so that a new fence
 # needs no save. Its successor begins above them.
-FENCES_AHEAD = 100_000
+MAX_UNSAVED_FENCES = 100_000
 # Pause between two plans that even out load.
-BALANCE_MS = 500.0
+REBALANCE_PAUSE_MS = 500.0
 # A server that leaves the list while the store was away may come back for so
 # long after its return.
-RETURN_MS = 2_500.0
+RETURN_GRACE_MS = 2_500.0
 
 
 class Phase(enum.Enum):
@@ -78,10 +78,10 @@
 
     service: str
     server: tables.Server
-    item: keyranges.KeyRange
+    key_range: keyranges.KeyRange
     fence: int
     hold_ms: float
-    token: str
+    handover_token: str
     planned_at: float = 0.0
     link: int | None = None
 
@@ -92,7 +92,7 @@
 
     service: str
     server: tables.Server
-    item: keyranges.KeyRange
+    key_range: keyranges.KeyRange
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -115,7 +115,7 @@
 Action = Grant | Release | Save | Probe
 
 
-class Answer(enum.Enum):
+class CallOutcome(enum.Enum):
     """What came of a grant, a release or a probe.
 
     DONE: carried out.
@@ -143,7 +143,7 @@
       link: Number of the connection that carried it; None if none did.
     """
 
-    answer: Answer
+    outcome: CallOutcome
     link: int | None = None
 
 
@@ -161,9 +161,9 @@
 
     transfer: rebalancing.Transfer
     phase: Phase
-    began_at: float
-    token: str = ''
-    unsettled: bool = False
+    planned_at: float
+    handover_token: str = ''
+    may_be_saved: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -187,7 +187,7 @@
     link: int | None = None
     due_at: float = 0.0
     pending: bool = False
-    answered: bool = False
+    owner_answered: bool = False
 
 
 @dataclasses.dataclass(slots=True)
@@ -229,34 +229,36 @@
 
     assignment: keyranges.Assignment
     revision: int
-    since: float
+    active_since: float
     next_fence: int
     hold_ms: float = HOLD_MS
-    held: list[holds.Hold] = dataclasses.field(default_factory=list)
+    server_holds: list[holds.Hold] = dataclasses.field(default_factory=list)
     renewals: dict[keyranges.KeyRange,
                    Renewal] = dataclasses.field(default_factory=dict)
-    tokens: dict[keyranges.KeyRange,
-                 str] = dataclasses.field(default_factory=dict)
+    handover_tokens: dict[keyranges.KeyRange,
+                          str] = dataclasses.field(default_factory=dict)
     moves: list[Move] = dataclasses.field(default_factory=list)
     saving: bool = False
-    save_at: float = 0.0
+    next_save_at: float = 0.0
     predecessor: str = ''
     predecessor_save_revision: int = 0
-    balanced_at: float = 0.0
-    sent: list[keyranges.KeyRange] = dataclasses.field(default_factory=list)
-    proven: set[str] = dataclasses.field(default_factory=set)
-    unreleased: set[str] = dataclasses.field(default_factory=set)
-    answered: dict[str, float] = dataclasses.field(default_factory=dict)
+    rebalanced_at: float = 0.0
+    grants_in_flight: list[keyranges.KeyRange] = dataclasses.field(
+        default_factory=list)
+    responsive: set[str] = dataclasses.field(default_factory=set)
+    release_suspended: set[str] = dataclasses.field(default_factory=set)
+    answered_at: dict[str, float] = dataclasses.field(default_factory=dict)
     probed_at: float = 0.0
-    probed: set[str] = dataclasses.field(default_factory=set)
-    loose: list[rebalancing.Transfer] = dataclasses.field(default_factory=list)
-    lost: bool = False
+    probes_in_flight: set[str] = dataclasses.field(default_factory=set)
+    pending_regrants: list[rebalancing.Transfer] = dataclasses.field(
+        default_factory=list)
+    superseded: bool = False
     era: int = 0
     restored_revision: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class View:
+class ServiceView:
     """What the coordinator sees of the servers of its service.
 
     Attributes:
@@ -270,13 +272,13 @@
 
     servers: Mapping[str, tables.Server]
     ended: frozenset[str]
-    left: Mapping[str, tables.Server]
+    departed: Mapping[str, tables.Server]
     loads: keyloads.KeyLoads
     capacities: Mapping[str, float]
     works: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
 
-def may_link(kept_at: float, now: float) -> bool:
+def may_open_connection(kept_at: float, now: float) -> bool:
     """Returns whether a grant may go over a new connection.
 
     A process that has just started refuses no fence yet, so it would take a
@@ -288,11 +290,12 @@
       kept_at: When the last renewal of the coordinator's lease was sent, ms.
       now: ms.
     """
-    return now - kept_at <= LEASE_MS - GRANT_WAIT_MS - GRANT_MS
+    return (now - kept_at
+            <= COORDINATOR_LEASE_MS - POOL_TIMEOUT_MS - GRANT_TIMEOUT_MS)
 
 
-def change_fence(state: Coordination, renewal: Renewal,
-                 link: int | None) -> None:
+def replace_fence(state: Coordination, renewal: Renewal,
+                  link: int | None) -> None:
     """Has keys granted under a fence that no connection has carried.
 
     If none is left they keep theirs, bound to the connection that carried it.
@@ -302,7 +305,7 @@
       renewal: How the keys are granted.
       link: The connection that carried their fence last; None if none did.
     """
-    if state.next_fence < state.assignment.next_fence + FENCES_AHEAD:
+    if state.next_fence < state.assignment.next_fence + MAX_UNSAVED_FENCES:
         renewal.fence, renewal.link = state.next_fence, None
         state.next_fence += 1
     elif link is not None:
@@ -322,19 +325,21 @@
     return state.renewals.get(assigned)
 
 
-def find_replacement(state: Coordination, view: View, name: str) -> str | None:
+def find_replacement(state: Coordination, view: ServiceView,
+                     name: str) -> str | None:
     """Returns the server at the address of one that has ended, if there is one.
 
     What was granted between its start and the news of it reached this one.
     """
-    old = view.left.get(name)
+    old = view.departed.get(name)
     address = old.address if old else state.assignment.addresses.get(name)
     return next((server.id
                  for server in view.servers.values()
                  if server.address == address and server.id != name), None)
 
 
-def may_return(state: Coordination, view: View, name: str, now: float) -> bool:
+def may_return(state: Coordination, view: ServiceView, name: str,
+               now: float) -> bool:
     """Returns whether an owner may be up although it isn't listed.
 
     Entries of servers run out while the store is away, and are back soon after
@@ -342,7 +347,7 @@
     the keys of the others unserved for 15 s. It grants them their keys first:
     who answers keeps them.
     """
-    if (now - state.since >= RETURN_MS or name in view.servers or
+    if (now - state.active_since >= RETURN_GRACE_MS or name in view.servers or
             name in view.ended):
         return False
     address = state.assignment.addresses.get(name)
@@ -350,31 +355,31 @@
         server.address != address for server in view.servers.values())
 
 
-def is_unasked(state: Coordination, item: keyranges.KeyRange,
-               now: float) -> bool:
+def awaits_first_answer(state: Coordination, item: keyranges.KeyRange,
+                        now: float) -> bool:
     """Returns whether an owner is yet to answer this coordinator.
 
     What an earlier coordinator granted ends for sure only with an answer under
     a higher fence: without it a release saves none of the 15 s of waiting.
     """
-    return now - state.since < RETURN_MS and any(
-        hold.server == item.server and not hold.certain and hold.fence <
+    return now - state.active_since < RETURN_GRACE_MS and any(
+        hold.server == item.server and not hold.acknowledged and hold.fence <
         item.fence and keyranges.overlaps(hold, item.first, item.last)
-        for hold in state.held)
+        for hold in state.server_holds)
 
 
-def is_failing(state: Coordination, name: str, now: float) -> bool:
+def has_timed_out(state: Coordination, name: str, now: float) -> bool:
     """Returns whether a server has not answered for as long as a hold."""
-    return now - state.answered.get(name, now) > state.hold_ms
+    return now - state.answered_at.get(name, now) > state.hold_ms
 
 
-def list_unmoved(state: Coordination) -> list[keyranges.KeyRange]:
+def list_unmoved_ranges(state: Coordination) -> list[keyranges.KeyRange]:
     """Returns the assignment less what is on its way already."""
-    return leave_out(state.assignment.ranges, state.moves)
+    return subtract_moves(state.assignment.ranges, state.moves)
 
 
-def leave_out(ranges: Iterable[keyranges.KeyRange],
-              moves: Iterable[Move]) -> list[keyranges.KeyRange]:
+def subtract_moves(ranges: Iterable[keyranges.KeyRange],
+                   moves: Iterable[Move]) -> list[keyranges.KeyRange]:
     """Returns ranges less the keys of moves."""
     marks = [
         keyranges.KeyRange(move.transfer.first, move.transfer.last, '', -1)
@@ -384,17 +389,18 @@
     return [item for item in laid if item.server]
 
 
-def is_under_way(state: Coordination, transfer: rebalancing.Transfer) -> bool:
+def has_grant_in_flight(state: Coordination,
+                        transfer: rebalancing.Transfer) -> bool:
     """Returns whether a grant of keys that are to move may still arrive."""
     return any(item.server == transfer.source and
                keyranges.overlaps(item, transfer.first, transfer.last)
-               for item in state.sent)
+               for item in state.grants_in_flight)
 
 
-def find_server(state: Coordination, view: View,
+def find_server(state: Coordination, view: ServiceView,
                 name: str) -> tables.Server | None:
     """Returns a server as it is listed, or as it was last known."""
-    server = view.servers.get(name) or view.left.get(name)
+    server = view.servers.get(name) or view.departed.get(name)
     address = state.assignment.addresses.get(name)
     if server is None and address:
         server = tables.Server(name, state.assignment.service, address, '', 1,
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -22,26 +22,26 @@
     if state is None:
         return
     elections.follow_restore(context, name, state)
-    if state.lost:
+    if state.superseded:
         elections.resign(context, name, role,
                          'a server has seen a higher fence')
         return
     if owned.handover_reason and owned.coordinator_lease is None:
         elections.resign(context, name, role, owned.handover_reason)
         return
-    if now - owned.lease_renewed_at > ownership.TENURE_MS:
+    if now - owned.lease_renewed_at > ownership.MAX_OFFLINE_MS:
         elections.resign(context, name, role,
                          'the lease was not renewed for too long')
         return
     if _is_replaced(context, state.predecessor,
                     state.predecessor_save_revision):
-        coordination.note_predecessor_ended(state, now)
+        coordination.handle_predecessor_ended(state, now)
     servers = {
         item.id: item
         for item in owned.servers.values()
         if item.service == name and item.id not in owned.ended_servers
     }
-    view = ownership.View(
+    view = ownership.ServiceView(
         servers, frozenset(owned.ended_servers), owned.departed_servers,
         role.load_table.find_key_loads(now),
         role.load_table.find_capacities(
@@ -49,7 +49,7 @@
             ratelimits.list_rates(context.forwarder.rate_limits)),
         role.load_table.list_work_means(servers.values()))
     known = len(state.moves)
-    for action in coordination.plan(state, view, now):
+    for action in coordination.plan_actions(state, view, now):
         _carry_out(context, state, action)
     if len(state.moves) > known:
         _log_moves(context, state, view, len(state.moves) - known)
@@ -60,9 +60,9 @@
 
 
 def _log_moves(context: controlstate.Context, state: ownership.Coordination,
-               view: ownership.View, count: int) -> None:
-    found = rebalancing.measure_evenness(state.assignment.ranges, view.loads,
-                                         view.capacities)
+               view: ownership.ServiceView, count: int) -> None:
+    found = rebalancing.measure_imbalance(state.assignment.ranges, view.loads,
+                                          view.capacities)
     context.logger.info('moves_planned',
                         service=state.assignment.service,
                         planned=count,
@@ -107,7 +107,7 @@
     elif isinstance(action, ownership.Probe):
         context.call(
             lambda: context.platform.servers.probe(action),
-            lambda result, sent: coordination.note_probed(
+            lambda result, sent: coordination.handle_probe_result(
                 state, action, result, context.clock.now()),
             context.server_calls)
     else:
@@ -124,7 +124,7 @@
     if unlinked and owned.handover_reason:
         # It could arrive after a successor has taken the role.
         _granted(context, state, grant,
-                 ownership.GrantResult(ownership.Answer.NOT_SENT),
+                 ownership.GrantResult(ownership.CallOutcome.NOT_SENT),
                  context.clock.now())
         return
     owned.new_connection_grants += unlinked
@@ -141,36 +141,36 @@
              grant: ownership.Grant, granted: ownership.GrantResult,
              sent_at: float) -> None:
     now = context.clock.now()
-    coordination.note_granted(state, grant, granted, sent_at, now)
-    if granted.answer is ownership.Answer.UNKNOWN:
-        in_force_ms = holds.find_end(now, grant.hold_ms) - now
+    coordination.handle_grant_result(state, grant, granted, sent_at, now)
+    if granted.outcome is ownership.CallOutcome.UNKNOWN:
+        in_force_ms = holds.compute_expiry(now, grant.hold_ms) - now
         context.logger.warning('grant_unanswered',
                                service=grant.service,
                                server=grant.server.id,
-                               first=grant.item.first,
-                               last=grant.item.last,
+                               first=grant.key_range.first,
+                               last=grant.key_range.last,
                                fence=grant.fence,
                                link=granted.link,
                                took_ms=round(now - sent_at),
                                in_force_ms=round(in_force_ms))
     context.states.note('grant_answer',
                         grant.server.id,
-                        granted.answer,
+                        granted.outcome,
                         service=grant.service,
                         fence=grant.fence,
-                        first=grant.item.first)
+                        first=grant.key_range.first)
 
 
 def _released(context: controlstate.Context, state: ownership.Coordination,
-              release: ownership.Release, answer: ownership.Answer,
+              release: ownership.Release, answer: ownership.CallOutcome,
               token: str) -> None:
-    coordination.note_released(state, release, answer, token,
-                               context.clock.now())
+    coordination.handle_release_result(state, release, answer, token,
+                                       context.clock.now())
     context.logger.info('keys_released',
                         server=release.server.id,
-                        first=release.item.first,
-                        last=release.item.last,
-                        fence=release.item.fence,
+                        first=release.key_range.first,
+                        last=release.key_range.last,
+                        fence=release.key_range.fence,
                         answer=answer.value,
                         handed_over=bool(token))
 
@@ -179,17 +179,18 @@
                 grant: ownership.Grant) -> ownership.GrantResult:
     """Sends a grant unless it is out of date; run by a thread."""
     now, kept_at = context.clock.now(), context.owned.lease_renewed_at
-    if (now - kept_at > ownership.TENURE_MS or
-            now - grant.planned_at > ownership.STALE_MS or
-            grant.link is None and not ownership.may_link(kept_at, now)):
-        return ownership.GrantResult(ownership.Answer.NOT_SENT)
+    if (now - kept_at > ownership.MAX_OFFLINE_MS or
+            now - grant.planned_at > ownership.MAX_GRANT_AGE_MS or
+            grant.link is None and
+            not ownership.may_open_connection(kept_at, now)):
+        return ownership.GrantResult(ownership.CallOutcome.NOT_SENT)
     return context.platform.servers.grant(grant)
 
 
 def _saved(context: controlstate.Context, state: ownership.Coordination,
            save: ownership.Save, result) -> None:
     if not isinstance(result, outcomes.Failed):
-        coordination.note_saved(state, save, result)
+        coordination.handle_saved(state, save, result)
         context.logger.info('assignment_saved',
                             service=save.service,
                             revision=revisions.format_revision(result),
@@ -199,10 +200,10 @@
     # After a restore the store holds an older assignment than was replaced.
     restored = save.assignment.era < context.platform.store.find_era()
     if result.reason is outcomes.Reason.CONFLICT and not restored:
-        state.lost = True
+        state.superseded = True
     refused = result.reason not in (outcomes.Reason.TIMED_OUT,
                                     outcomes.Reason.CONNECTION_LOST)
-    coordination.note_not_saved(state, refused, context.clock.now())
+    coordination.handle_save_failure(state, refused, context.clock.now())
     context.logger.warning('assignment_not_saved',
                            service=save.service,
                            reason=result.reason.value)
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -21,7 +21,7 @@
 # A release is answered when the work that runs on its keys has ended.
 RELEASE_MS = 2_500.0
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 _BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError)
 
 
@@ -46,8 +46,8 @@
                 return ownership.GrantResult(link)
             return _grant_over(pool, link, action, clock)
 
-    def release(action: ownership.Release) -> tuple[ownership.Answer, str]:
-        item = action.item
+    def release(action: ownership.Release) -> tuple[ownership.CallOutcome, str]:
+        item = action.key_range
         fields = {'From': item.first, 'To': item.last, 'fence': item.fence}
         reply = call_release(action.server.address, fields, RELEASE_MS)
         token = ''
@@ -55,12 +55,13 @@
             token = reply.headers.get(_TOKEN, '')
         return _judge_reply(reply), token
 
-    def probe(action: ownership.Probe) -> ownership.Answer:
+    def probe(action: ownership.Probe) -> ownership.CallOutcome:
         # Releases key 0. The keys of a server that is probed are about to move,
         # so that it may lose one early.
         fields = {'From': 0, 'To': 0, 'fence': 0}
         return _judge_reply(
-            call_release(action.server.address, fields, ownership.GRANT_MS))
+            call_release(action.server.address, fields,
+                         ownership.GRANT_TIMEOUT_MS))
 
     return ports.ServerCalls(grant, release, probe)
 
@@ -68,7 +69,7 @@
 def _grant_over(pool: links.Links, link: links.Link, action: ownership.Grant,
                 clock: clocks.Clock) -> ownership.GrantResult:
     """Sends a grant over a link, whose lock is held."""
-    until = clock.now() + ownership.GRANT_MS
+    until = clock.now() + ownership.GRANT_TIMEOUT_MS
     if link.http is not None and not link.http.is_connected:
         link.close()
     # Another grant may have closed or replaced it while this one waited.
@@ -105,17 +106,18 @@
 
 def _encode_grant(action: ownership.Grant) -> bytes:
     fields = {
-        'From': action.item.first,
-        'To': action.item.last,
+        'From': action.key_range.first,
+        'To': action.key_range.last,
         'fence': action.fence,
         'HoldMs': int(action.hold_ms),
     }
-    if action.token:
-        fields['Handover'] = action.token
+    if action.handover_token:
+        fields['Handover'] = action.handover_token
     return json.dumps(fields).encode()
 
 
-def _judge_reply(reply: httpcalls.Reply | outcomes.Failed) -> ownership.Answer:
+def _judge_reply(
+        reply: httpcalls.Reply | outcomes.Failed) -> ownership.CallOutcome:
     if isinstance(reply, outcomes.Failed):
         if reply.reason is outcomes.Reason.CONNECT_FAILED:
             return _Answer.NOT_SENT
@@ -123,7 +125,7 @@
     return _judge_status(reply.status)
 
 
-def _judge_status(status: int) -> ownership.Answer:
+def _judge_status(status: int) -> ownership.CallOutcome:
     if status == 200:
         return _Answer.DONE
     if status == 409:
--- a/tests/edgeworlds.py
+++ b/tests/edgeworlds.py
@@ -54,13 +54,13 @@
         """Applies a grant; its time runs from its arrival."""
         if any(begin <= last and end >= first and seen > fence
                for begin, end, seen in self.seen):
-            return ownership.Answer.REFUSED
+            return ownership.CallOutcome.REFUSED
         self.seen.append((first, last, fence))
         until = arrived + hold_ms * self.pace
         self.release(first, last)
         if until > now:
             self.held.append(Held(first, last, fence, until))
-        return ownership.Answer.DONE
+        return ownership.CallOutcome.DONE
 
     def release(self, first, last):
         """Takes keys back."""
@@ -110,10 +110,11 @@
         self.queue_ms = 0.0
         for _ in range(servers):
             self.add_server()
-        first = coordination.make_first(SERVICE, self.list_servers())
+        first = coordination.make_first_assignment(SERVICE, self.list_servers())
         self.saved, self.revision = first, 1
         self.coordinators = [
-            CoordinatorModel(coordination.begin(first, 1, 0.0, None), 0.0)
+            CoordinatorModel(
+                coordination.start_coordination(first, 1, 0.0, None), 0.0)
         ]
         self.breaches: list[str] = []
 
@@ -178,17 +179,17 @@
 
     def take_over(self) -> None:
         """Another coordinator takes the role; the old one may go on."""
-        following = coordination.make_next(self.saved)
+        following = coordination.make_next_assignment(self.saved)
         self.revision += 1
         self.saved = following
         for item in self.coordinators:
             if item.sees_store:
-                item.kept_at = self.now - ownership.LEASE_MS
+                item.kept_at = self.now - ownership.COORDINATOR_LEASE_MS
             item.sees_store = False
         self.coordinators.append(
             CoordinatorModel(
-                coordination.begin(following, self.revision, self.now, 'old.1'),
-                self.now))
+                coordination.start_coordination(following, self.revision,
+                                                self.now, 'old.1'), self.now))
 
     def owner_count(self, key: int) -> int:
         """Returns how many servers hold a key."""
@@ -198,14 +199,15 @@
     def _step(self, item: CoordinatorModel) -> None:
         if item.sees_store:
             item.kept_at = self.now
-        if not item.up or item.state.lost:
+        if not item.up or item.state.superseded:
             return
-        if self.now - item.kept_at > ownership.TENURE_MS:
+        if self.now - item.kept_at > ownership.MAX_OFFLINE_MS:
             return
-        for action in coordination.plan(item.state, self._view(), self.now):
+        for action in coordination.plan_actions(item.state, self._view(),
+                                                self.now):
             self._carry_out(item, action)
 
-    def _view(self) -> ownership.View:
+    def _view(self) -> ownership.ServiceView:
         listed = self.list_servers()
         left = {
             name: server.entry
@@ -216,7 +218,7 @@
             other.listed and other.entry.address == server.entry.address and
             other.entry.seen_at > server.entry.seen_at
             for other in self.servers.values()))
-        return ownership.View(
+        return ownership.ServiceView(
             {
                 name: entry
                 for name, entry in listed.items()
@@ -247,34 +249,34 @@
 
     def _send_grant(self, item, action) -> None:
         sent, model = self.now, self.find_listening(action.server.id)
-        state, keys = item.state, action.item
+        state, keys = item.state, action.key_range
         draw = self.random.random()
 
         def note(answer, link=None):
-            coordination.note_granted(state, action,
-                                      ownership.GrantResult(answer, link), sent,
-                                      self.now)
+            coordination.handle_grant_result(
+                state, action, ownership.GrantResult(answer, link), sent,
+                self.now)
 
-        if (self.now - action.planned_at > ownership.STALE_MS or
+        if (self.now - action.planned_at > ownership.MAX_GRANT_AGE_MS or
                 action.link is None and
-                not ownership.may_link(item.kept_at, self.now)):
-            note(ownership.Answer.NOT_SENT)
+                not ownership.may_open_connection(item.kept_at, self.now)):
+            note(ownership.CallOutcome.NOT_SENT)
             return
         if not self._is_linked(item, action, model):
-            note(ownership.Answer.UNLINKED)
+            note(ownership.CallOutcome.UNLINKED)
             return
         if not model.up or not model.reachable:
             item.links.pop(action.server.id, None)
-            self._after(100, lambda: note(ownership.Answer.NOT_SENT))
+            self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT))
             return
         link = self._connect(item, action, model)
 
         def apply(arrived):
             if not model.up:
-                return ownership.Answer.UNKNOWN
+                return ownership.CallOutcome.UNKNOWN
             answer = model.grant(keys.first, keys.last, action.fence,
                                  action.hold_ms, arrived, self.now)
-            if (answer is ownership.Answer.DONE and
+            if (answer is ownership.CallOutcome.DONE and
                     model.holds(keys.first, self.now)):
                 self._note_taken(model, keys, action.fence)
             return answer
@@ -282,24 +284,26 @@
         def give_up():
             if item.links.get(action.server.id, (None,))[0] == link:
                 del item.links[action.server.id]
-            note(ownership.Answer.UNKNOWN, link)
+            note(ownership.CallOutcome.UNKNOWN, link)
 
         def answer_later():
-            answer = ownership.Answer.UNKNOWN if model.cut else apply(self.now)
-            if answer is ownership.Answer.UNKNOWN:
-                self._after(sent + ownership.GRANT_MS - self.now, give_up)
+            answer = ownership.CallOutcome.UNKNOWN if model.cut else apply(
+                self.now)
+            if answer is ownership.CallOutcome.UNKNOWN:
+                self._after(sent + ownership.GRANT_TIMEOUT_MS - self.now,
+                            give_up)
             else:
                 note(answer, link)
 
-        arrival_ms = self.random.uniform(2, ownership.GRANT_MS - 2)
+        arrival_ms = self.random.uniform(2, ownership.GRANT_TIMEOUT_MS - 2)
         if model.frozen or draw < self.late_share:
             arrived = self.now + arrival_ms
             self._after(self.random.uniform(2_000, 8_000),
                         lambda: apply(arrived))
-            self._after(ownership.GRANT_MS, give_up)
+            self._after(ownership.GRANT_TIMEOUT_MS, give_up)
         elif draw < self.late_share + self.lost_share:
             self._after(arrival_ms, lambda: apply(self.now))
-            self._after(ownership.GRANT_MS, give_up)
+            self._after(ownership.GRANT_TIMEOUT_MS, give_up)
         elif model.cut or draw > 1 - self.delay_share:
             self._after(arrival_ms, answer_later)
         else:
@@ -338,21 +342,22 @@
 
     def _release(self, item, action) -> None:
         model, state, keys = (self.find_listening(action.server.id), item.state,
-                              action.item)
+                              action.key_range)
 
         def note(answer, token):
-            coordination.note_released(state, action, answer, token, self.now)
+            coordination.handle_release_result(state, action, answer, token,
+                                               self.now)
 
         if not model.up or not model.reachable:
-            self._after(100, lambda: note(ownership.Answer.NOT_SENT, ''))
+            self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT, ''))
             return
         if model.frozen or model.cut:
-            self._after(400, lambda: note(ownership.Answer.UNKNOWN, ''))
+            self._after(400, lambda: note(ownership.CallOutcome.UNKNOWN, ''))
             return
 
         def apply():
             model.release(keys.first, keys.last)
-            self._after(60, lambda: note(ownership.Answer.DONE, 'token'))
+            self._after(60, lambda: note(ownership.CallOutcome.DONE, 'token'))
 
         self._after(3, apply)
 
@@ -360,18 +365,18 @@
         model, state = self.find_listening(action.server.id), item.state
 
         def note(answer):
-            coordination.note_probed(state, action, answer, self.now)
+            coordination.handle_probe_result(state, action, answer, self.now)
 
         if not model.up or not model.reachable:
-            self._after(100, lambda: note(ownership.Answer.NOT_SENT))
+            self._after(100, lambda: note(ownership.CallOutcome.NOT_SENT))
             return
         if model.frozen or model.cut:
-            self._after(400, lambda: note(ownership.Answer.UNKNOWN))
+            self._after(400, lambda: note(ownership.CallOutcome.UNKNOWN))
             return
 
         def apply():
             model.release(0, 0)
-            self._after(4, lambda: note(ownership.Answer.DONE))
+            self._after(4, lambda: note(ownership.CallOutcome.DONE))
 
         self._after(3, apply)
 
@@ -383,11 +388,11 @@
                 self.revision += 1
                 self.saved = action.assignment
             else:
-                item.state.lost |= item.sees_store
+                item.state.superseded |= item.sees_store
             if done:
-                coordination.note_saved(item.state, action, self.revision)
+                coordination.handle_saved(item.state, action, self.revision)
             else:
-                coordination.note_not_saved(item.state, True, self.now)
+                coordination.handle_save_failure(item.state, True, self.now)
 
         self._after(5, apply)
 
@@ -403,7 +408,7 @@
 
 def find_end(sent_at: float) -> float:
     """Returns when a usual grant has surely ended."""
-    return holds.find_end(sent_at, ownership.HOLD_MS)
+    return holds.compute_expiry(sent_at, ownership.HOLD_MS)
 
 
 def count_keys(ranges) -> int:
--- a/tests/orderworlds.py
+++ b/tests/orderworlds.py
@@ -56,9 +56,9 @@
 GRID_MS = 750.0
 _LOADS = keyloads.KeyLoads({})
 # Views by what they show; names and starts of processes are always the same.
-_views: dict[tuple, ownership.View] = {}
+_views: dict[tuple, ownership.ServiceView] = {}
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 
 
 class Fate(enum.Enum):
@@ -162,8 +162,8 @@
 
     def is_active(self, now: float) -> bool:
         """Returns whether it still decides."""
-        return (self.up and not self.state.lost and
-                now - self.kept_at <= ownership.TENURE_MS)
+        return (self.up and not self.state.superseded and
+                now - self.kept_at <= ownership.MAX_OFFLINE_MS)
 
 
 class World:
@@ -211,7 +211,8 @@
             addresses={first: ADDRESSES[0]})
         self.revision = 1
         self.coordinators.append(
-            Coordinator(coordination.begin(self.saved, 1, 0.0, None), 0.0))
+            Coordinator(
+                coordination.start_coordination(self.saved, 1, 0.0, None), 0.0))
         self.follow_store()
 
     def copy(self) -> 'World':
@@ -344,7 +345,7 @@
     def _send_grant(self, index, action, fate) -> None:
         now, coordinator, server = self.now, self.coordinators[
             index], action.server
-        if action.link is None and not ownership.may_link(
+        if action.link is None and not ownership.may_open_connection(
                 coordinator.kept_at, now):
             self._note_grant(index, action, _Answer.NOT_SENT, None, now)
             return
@@ -371,7 +372,7 @@
         if link is None and (cut or process is None):
             if cut:
                 self._add(
-                    Event(now + ownership.GRANT_MS,
+                    Event(now + ownership.GRANT_TIMEOUT_MS,
                           'end_grant',
                           index,
                           action=action,
@@ -388,7 +389,7 @@
     def _carry_grant(self, index, action, fate, link) -> None:
         """Has a grant go over a link."""
         now, address = self.now, action.server.address
-        end = now + ownership.GRANT_MS
+        end = now + ownership.GRANT_TIMEOUT_MS
         usual = fate in (Fate.ANSWERED, Fate.UNANSWERED)
         thaws_at = self.frozen.get(address, 0.0)
         message = Event(now, 'apply', index, link[1], action, now, link=link[0])
@@ -460,14 +461,14 @@
         if (self.is_cut(index, address) or
                 self.frozen.get(address, 0.0) > self.now):
             self._add(
-                Event(self.now + ownership.GRANT_MS,
+                Event(self.now + ownership.GRANT_TIMEOUT_MS,
                       'end_probe',
                       index,
                       action=action))
             return
         answer = _Answer.NOT_SENT if process is None else _Answer.DONE
-        coordination.note_probed(self.coordinators[index].state, action, answer,
-                                 self.now)
+        coordination.handle_probe_result(self.coordinators[index].state, action,
+                                         answer, self.now)
 
     def _save(self, index, action, fate) -> None:
         coordinator = self.coordinators[index]
@@ -477,11 +478,11 @@
             self.revision += 1
             self.saved = action.assignment
         elif coordinator.sees_store and action.revision != self.revision:
-            coordinator.state.lost = True
+            coordinator.state.superseded = True
         if done:
-            coordination.note_saved(coordinator.state, action, self.revision)
+            coordination.handle_saved(coordinator.state, action, self.revision)
         else:
-            coordination.note_not_saved(coordinator.state, True, self.now)
+            coordination.handle_save_failure(coordinator.state, True, self.now)
 
     # What happens when its time has come.
 
@@ -548,8 +549,8 @@
     def _do_send_again(self, event: Event) -> None:
         coordinator, action = self.coordinators[event.coordinator], event.action
         if (coordinator.up and
-                self.now - coordinator.kept_at <= ownership.TENURE_MS and
-                self.now - action.planned_at <= ownership.STALE_MS):
+                self.now - coordinator.kept_at <= ownership.MAX_OFFLINE_MS and
+                self.now - action.planned_at <= ownership.MAX_GRANT_AGE_MS):
             self._send_grant(event.coordinator, action, Fate.ANSWERED)
         else:
             self._note_grant(event.coordinator, action, _Answer.NOT_SENT, None,
@@ -567,8 +568,8 @@
 
     def _do_end_probe(self, event: Event) -> None:
         coordinator = self.coordinators[event.coordinator]
-        coordination.note_probed(coordinator.state, event.action,
-                                 _Answer.UNKNOWN, self.now)
+        coordination.handle_probe_result(coordinator.state, event.action,
+                                         _Answer.UNKNOWN, self.now)
 
     def _do_heal(self, event: Event) -> None:
         self.cut -= {(event.coordinator, event.name)}
@@ -589,14 +590,14 @@
         self.drop_process(event.name)
 
     def _note_grant(self, index, action, answer, link, sent_at) -> None:
-        coordination.note_granted(self.coordinators[index].state, action,
-                                  ownership.GrantResult(answer, link), sent_at,
-                                  self.now)
+        coordination.handle_grant_result(self.coordinators[index].state, action,
+                                         ownership.GrantResult(answer, link),
+                                         sent_at, self.now)
 
     def _note_released(self, index, action, answer) -> None:
         token = 'token' if answer is _Answer.DONE else ''
-        coordination.note_released(self.coordinators[index].state, action,
-                                   answer, token, self.now)
+        coordination.handle_release_result(self.coordinators[index].state,
+                                           action, answer, token, self.now)
 
     def _add(self, event: Event) -> None:
         index = next((index for index, item in enumerate(self.events)
@@ -679,15 +680,16 @@
         """
         before = self.coordinators[-1]
         before.sees_store, before.up = False, goes_on
-        before.kept_at = self.now - ownership.LEASE_MS
-        self.saved = coordination.make_next(self.saved)
+        before.kept_at = self.now - ownership.COORDINATOR_LEASE_MS
+        self.saved = coordination.make_next_assignment(self.saved)
         self.revision += 1
-        state = coordination.begin(self.saved, self.revision, self.now, 'one.1')
+        state = coordination.start_coordination(self.saved, self.revision,
+                                                self.now, 'one.1')
         coordinator = Coordinator(state, self.now)
         if knows:
             coordinator.known, coordinator.ended = before.known, before.ended
             if not goes_on:
-                coordination.note_predecessor_ended(state, self.now)
+                coordination.handle_predecessor_ended(state, self.now)
         self.coordinators.append(coordinator)
         self.follow_store()
 
@@ -700,11 +702,13 @@
             if coordinator.sees_store:
                 coordinator.kept_at = self.now
             if coordinator.is_active(self.now):
-                decided += [(index, action) for action in coordination.plan(
-                    coordinator.state, self._view(coordinator), self.now)]
+                decided += [
+                    (index, action) for action in coordination.plan_actions(
+                        coordinator.state, self._view(coordinator), self.now)
+                ]
         return decided
 
-    def _view(self, coordinator: Coordinator) -> ownership.View:
+    def _view(self, coordinator: Coordinator) -> ownership.ServiceView:
         draining = tuple(name for name, item in self.processes.items()
                          if item.entry.draining)
         key = (coordinator.known, coordinator.ended, coordinator.listed,
@@ -714,12 +718,12 @@
             view = _views[key] = self._make_view(coordinator)
         return view
 
-    def _make_view(self, coordinator: Coordinator) -> ownership.View:
+    def _make_view(self, coordinator: Coordinator) -> ownership.ServiceView:
         entries = {
             name: self.processes[name].entry
             for name in sorted(coordinator.known)
         }
-        return ownership.View(
+        return ownership.ServiceView(
             {
                 name: entry
                 for name, entry in entries.items()
@@ -745,7 +749,10 @@
             if coordinator.is_active(now):
                 coarse += _list_due(coordinator.state, now)
                 if coordinator.state.moves:
-                    exact += [item.until for item in coordinator.state.held]
+                    exact += [
+                        item.expires_at
+                        for item in coordinator.state.server_holds
+                    ]
         due = min(time for time in coarse if time > now)
         return min(-(-due // GRID_MS) * GRID_MS,
                    *[time for time in exact if time > now])
@@ -784,10 +791,10 @@
         detail = ()
         if isinstance(action, ownership.Grant):
             fences.append(action.fence)
-            fences.append(action.item.fence)
+            fences.append(action.key_range.fence)
             link = self.coordinators[event.coordinator].links.get(
                 action.server.id, (None,))
-            detail = (action.server.id, action.item.server, action.hold_ms,
+            detail = (action.server.id, action.key_range.server, action.hold_ms,
                       event.link is not None, link[0] == event.link,
                       round(self.now - event.sent_at),
                       round(self.now -
@@ -807,14 +814,14 @@
     times = [
         item.due_at for item in state.renewals.values() if not item.pending
     ]
-    for name, at in state.answered.items():
+    for name, at in state.answered_at.items():
         fails_at = at + state.hold_ms + 1.0
         times.append(fails_at)
-        if fails_at <= now and name not in state.probed:
-            times.append(state.probed_at + ownership.PROBE_MS)
-    times.append(state.since + ownership.RETURN_MS)
+        if fails_at <= now and name not in state.probes_in_flight:
+            times.append(state.probed_at + ownership.PROBE_INTERVAL_MS)
+    times.append(state.active_since + ownership.RETURN_GRACE_MS)
     if state.moves:
-        times.append(state.save_at)
+        times.append(state.next_save_at)
     return times
 
 
@@ -839,12 +846,13 @@
     new.renewals = {
         item:
             ownership.Renewal(row.fence, row.link, row.due_at, row.pending,
-                              row.answered)
+                              row.owner_answered)
         for item, row in old.renewals.items()
     }
     new.moves = [
-        ownership.Move(row.transfer, row.phase, row.began_at, row.token,
-                       row.unsettled) for row in old.moves
+        ownership.Move(row.transfer, row.phase, row.planned_at,
+                       row.handover_token, row.may_be_saved)
+        for row in old.moves
     ]
     return new
 
@@ -873,7 +881,7 @@
 def _key_coordinator(coordinator: Coordinator, now: float, fences: list[int],
                      revision: int) -> tuple:
     if not coordinator.is_active(now):
-        return (coordinator.up, coordinator.state.lost)
+        return (coordinator.up, coordinator.state.superseded)
     kept = 0.0 if coordinator.sees_store else coordinator.kept_at - now
     return (kept, coordinator.known, coordinator.ended, coordinator.listed,
             tuple((name, link[1]) for name, link in coordinator.links.items()),
@@ -885,34 +893,35 @@
     state = coordinator.state
     fences += [state.next_fence, state.assignment.next_fence]
     fences += [item.fence for item in state.assignment.ranges]
-    held = [item for item in state.held if item.until > now]
+    held = [item for item in state.server_holds if item.expires_at > now]
     fences += [item.fence for item in held]
     fences += [item.fence for item in state.renewals.values()]
-    fences += [item.fence for item in state.sent]
+    fences += [item.fence for item in state.grants_in_flight]
     return (
         tuple(item.server for item in state.assignment.ranges),
         tuple(state.assignment.addresses.items()),
         state.revision == revision,
-        max(-ownership.RETURN_MS, state.since - now),
-        tuple((item.server, round(item.until - now, 1), item.certain)
+        max(-ownership.RETURN_GRACE_MS, state.active_since - now),
+        tuple((item.server, round(item.expires_at - now, 1), item.acknowledged)
               for item in held),
         tuple((_key_link(coordinator, item, row),
-               max(0.0, round(row.due_at - now, 1)), row.pending, row.answered)
-              for item, row in state.renewals.items()),
-        bool(state.tokens),
-        tuple((row.transfer, row.phase, bool(row.token), row.unsettled,
-               state.answered.get(row.transfer.source, now) > row.began_at)
+               max(0.0, round(row.due_at - now, 1)), row.pending,
+               row.owner_answered) for item, row in state.renewals.items()),
+        bool(state.handover_tokens),
+        tuple((row.transfer, row.phase,
+               bool(row.handover_token), row.may_be_saved,
+               state.answered_at.get(row.transfer.source, now) > row.planned_at)
               for row in state.moves),
-        max(0.0, state.save_at - now),
+        max(0.0, state.next_save_at - now),
         state.predecessor,
-        tuple(item.server for item in state.sent),
-        frozenset(state.proven),
-        frozenset(state.unreleased),
+        tuple(item.server for item in state.grants_in_flight),
+        frozenset(state.responsive),
+        frozenset(state.release_suspended),
         tuple((name, max(-state.hold_ms - 1.0, at - now))
-              for name, at in state.answered.items()),
-        max(-ownership.PROBE_MS, state.probed_at - now),
-        frozenset(state.probed),
-        tuple(state.loose),
+              for name, at in state.answered_at.items()),
+        max(-ownership.PROBE_INTERVAL_MS, state.probed_at - now),
+        frozenset(state.probes_in_flight),
+        tuple(state.pending_regrants),
     )
 
 
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -125,7 +125,8 @@
             world = edgeworlds.World(seed)
             world.run(3_000 + 150 * seed)
             world.servers['s2'].frozen = True
-            world.run(ownership.HOLD_MS * (1.03 + ownership.RENEW_PART) + 700)
+            world.run(ownership.HOLD_MS * (1.03 + ownership.RENEW_FRACTION) +
+                      700)
             self.assertTrue(_covered(world), seed)
             world.servers['s2'].frozen = False
             world.run(9_000)
@@ -134,16 +135,17 @@
     def test_no_grant_is_longer_than_what_the_operator_allows(self):
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
-        state = coordination.begin(assignment, 1, 0.0, None, 1_200.0)
+        state = coordination.start_coordination(assignment, 1, 0.0, None,
+                                                1_200.0)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
-        view = ownership.View({'a': server}, frozenset(), {},
-                              keyloads.KeyLoads({}), {})
-        grant, = coordination.plan(state, view, 0.0)
+        view = ownership.ServiceView({'a': server}, frozenset(), {},
+                                     keyloads.KeyLoads({}), {})
+        grant, = coordination.plan_actions(state, view, 0.0)
         self.assertEqual(grant.hold_ms, 1_200.0)
-        coordination.note_granted(state, grant,
-                                  ownership.GrantResult(ownership.Answer.DONE),
-                                  0.0, 1.0)
-        self.assertLess(state.renewals[grant.item].due_at, 400.0)
+        coordination.handle_grant_result(
+            state, grant, ownership.GrantResult(ownership.CallOutcome.DONE),
+            0.0, 1.0)
+        self.assertLess(state.renewals[grant.key_range].due_at, 400.0)
 
     def test_a_server_that_answers_again_keeps_what_nobody_got_yet(self):
         # After all entries lost power, keys of servers that were off the list
@@ -182,8 +184,8 @@
         world.servers['s2'].up = world.servers['s2'].listed = False
         world.take_over()
         world.coordinators[0].up = False
-        coordination.note_predecessor_ended(world.coordinators[1].state,
-                                            world.now)
+        coordination.handle_predecessor_ended(world.coordinators[1].state,
+                                              world.now)
         world.run(ownership.HOLD_MS * 1.03 + 500)
         self.assertTrue(_covered(world))
 
@@ -225,23 +227,23 @@
     def test_a_refusal_of_what_was_joined_since_is_no_loss_of_the_role(self):
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
-        state = coordination.begin(assignment, 1, 0.0, None)
+        state = coordination.start_coordination(assignment, 1, 0.0, None)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
         grant = ownership.Grant('stock', server,
                                 edgeworlds.make_range(0, 4, 'a', 1), 1, 4_000,
                                 '')
-        state.sent.append(grant.item)
-        coordination.note_granted(
-            state, grant, ownership.GrantResult(ownership.Answer.REFUSED), 0.0,
-            1.0)
-        self.assertFalse(state.lost)
+        state.grants_in_flight.append(grant.key_range)
+        coordination.handle_grant_result(
+            state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
+            0.0, 1.0)
+        self.assertFalse(state.superseded)
         grant = ownership.Grant('stock', server, assignment.ranges[0], 2, 4_000,
                                 '')
-        state.sent.append(grant.item)
-        coordination.note_granted(
-            state, grant, ownership.GrantResult(ownership.Answer.REFUSED), 0.0,
-            1.0)
-        self.assertTrue(state.lost)
+        state.grants_in_flight.append(grant.key_range)
+        coordination.handle_grant_result(
+            state, grant, ownership.GrantResult(ownership.CallOutcome.REFUSED),
+            0.0, 1.0)
+        self.assertTrue(state.superseded)
 
 
 class TakeoverTest(unittest.TestCase):
@@ -278,7 +280,7 @@
         world.run(3_000)
         world.servers['s2'].listed = False
         self._take_over(world)
-        world.run(ownership.RETURN_MS + 1_000)
+        world.run(ownership.RETURN_GRACE_MS + 1_000)
         self.assertFalse(any(
             item.server == 's2' for item in world.saved.ranges))
         self.assertTrue(_covered(world))
@@ -304,8 +306,8 @@
         other = world.servers['s3']
         other.entry = dataclasses.replace(other.entry,
                                           address=gone.entry.address)
-        view = ownership.View(world.list_servers(), frozenset(), {},
-                              keyloads.KeyLoads({}), {})
+        view = ownership.ServiceView(world.list_servers(), frozenset(), {},
+                                     keyloads.KeyLoads({}), {})
         self._take_over(world)
         state = world.coordinators[1].state
         self.assertFalse(ownership.may_return(state, view, 's2', world.now))
@@ -360,17 +362,18 @@
         state = world.coordinators[0].state
         ended = frozenset({'s2'})
         servers = world.list_servers()
-        view = ownership.View(
+        view = ownership.ServiceView(
             {
                 name: entry for name, entry in servers.items() if name != 's2'
             }, ended, {'s2': servers['s2']}, keyloads.KeyLoads({}), {})
-        until = holds.find_until(state.held, 's2', 0, tables.KEY_COUNT)
-        actions = coordination.plan(state, view, world.now)
+        until = holds.find_expiry(state.server_holds, 's2', 0, tables.KEY_COUNT)
+        actions = coordination.plan_actions(state, view, world.now)
         self.assertEqual(
-            holds.find_until(state.held, 's2', 0, tables.KEY_COUNT), until)
+            holds.find_expiry(state.server_holds, 's2', 0, tables.KEY_COUNT),
+            until)
         self.assertFalse(
             any(isinstance(item, ownership.Save) for item in actions))
-        actions = coordination.plan(state, view, until)
+        actions = coordination.plan_actions(state, view, until)
         self.assertTrue(
             any(isinstance(item, ownership.Save) for item in actions))
 
@@ -393,9 +396,10 @@
             world = self._make_world(seed)
             hot = world.saved.ranges[0]
             state = world.coordinators[0].state
-            state.held.append(
+            state.server_holds.append(
                 holds.Hold(hot.first, hot.last, hot.server, hot.fence,
-                           holds.find_end(world.now, ownership.HOLD_MS), False))
+                           holds.compute_expiry(world.now, ownership.HOLD_MS),
+                           False))
             world.run(2_000)
             owners = {
                 name for name, model in world.servers.items()
@@ -416,25 +420,26 @@
 class LateArrivalTest(unittest.TestCase):
     """A grant arrives any time before it is answered or given up."""
 
-    def _note(self, answer: ownership.Answer, now: float) -> float:
+    def _note(self, answer: ownership.CallOutcome, now: float) -> float:
         """Returns until when keys count as held that were granted at 0."""
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
-        state = coordination.begin(assignment, 1, 0.0, None)
+        state = coordination.start_coordination(assignment, 1, 0.0, None)
         server = tables.Server('a', 'stock', 'a:1', 'd', 2, False, 0.0, 0.0)
-        view = ownership.View({'a': server}, frozenset(), {},
-                              keyloads.KeyLoads({}), {})
-        grant, = coordination.plan(state, view, 0.0)
-        coordination.note_granted(state, grant,
-                                  ownership.GrantResult(answer, 1), 0.0, now)
-        return holds.find_until(state.held, 'a', 0, 9)
+        view = ownership.ServiceView({'a': server}, frozenset(), {},
+                                     keyloads.KeyLoads({}), {})
+        grant, = coordination.plan_actions(state, view, 0.0)
+        coordination.handle_grant_result(state, grant,
+                                         ownership.GrantResult(answer, 1), 0.0,
+                                         now)
+        return holds.find_expiry(state.server_holds, 'a', 0, 9)
 
     def test_one_that_is_answered_late_counts_from_its_answer(self):
-        until = self._note(ownership.Answer.DONE, 390.0)
+        until = self._note(ownership.CallOutcome.DONE, 390.0)
         self.assertGreaterEqual(until, 390.0 + ownership.HOLD_MS / 0.98)
 
     def test_one_that_is_given_up_counts_from_then(self):
-        until = self._note(ownership.Answer.UNKNOWN, 400.0)
+        until = self._note(ownership.CallOutcome.UNKNOWN, 400.0)
         self.assertGreaterEqual(until, 400.0 + ownership.HOLD_MS / 0.98)
 
 
@@ -462,7 +467,7 @@
             with self.subTest(seed=seed):
                 world = _play(seed)
                 world.late_share = world.lost_share = world.queue_ms = 0.0
-                world.run(ownership.TENURE_MS + ownership.HOLD_MS * 1.03 +
+                world.run(ownership.MAX_OFFLINE_MS + ownership.HOLD_MS * 1.03 +
                           3_000)
                 # A key that moves has no owner for the time of a release.
                 self.assertLessEqual(_find_longest_gap(world, 2_000.0), 200.0)
--- a/tests/test_edge_orders.py
+++ b/tests/test_edge_orders.py
@@ -51,7 +51,8 @@
 _SERVED_MS = 5_000.0
 # A successor that knows nothing of before also waits for its predecessor, and
 # for the last grant that this one may have had wait for a connection.
-_SUCCEEDED_MS = ownership.TENURE_MS + ownership.GRANT_WAIT_MS + _SERVED_MS
+_SUCCEEDED_MS = (ownership.MAX_OFFLINE_MS + ownership.POOL_TIMEOUT_MS +
+                 _SERVED_MS)
 
 # A successor finds a server silent after a hold; the first coordinator still
 # goes on then. More of it only makes more states.
@@ -60,8 +61,8 @@
 
 @functools.cache
 def _explore(scope: orders.Scope) -> orders.Report:
-    tenure_ms = _TENURE_MS if scope is _APART else ownership.TENURE_MS
-    with mock.patch.object(ownership, 'TENURE_MS', tenure_ms):
+    tenure_ms = _TENURE_MS if scope is _APART else ownership.MAX_OFFLINE_MS
+    with mock.patch.object(ownership, 'MAX_OFFLINE_MS', tenure_ms):
         return orders.explore(scope)
 
 
@@ -160,17 +161,17 @@
         return '\n'.join(report.traces[breach])
 
     def test_holds_that_count_from_the_sending(self):
-        note, find_end = coordination.note_granted, holds.find_end
+        note, find_end = coordination.handle_grant_result, holds.compute_expiry
 
         def note_early(state, grant, granted, sent_at, now):
             with mock.patch.object(
-                    holds, 'find_end',
+                    holds, 'compute_expiry',
                     lambda unused_by, hold_ms: find_end(sent_at, hold_ms)):
                 note(state, grant, granted, sent_at, now)
 
         course = self._find(_make_hunt(
             ('cut',), (_Fate.LATE_UNANSWERED,)), _Breach.HOLDERS,
-                            [(coordination, 'note_granted', note_early)])
+                            [(coordination, 'handle_grant_result', note_early)])
         self.assertIn('just before it is given up', course)
         self.assertIn('a1 and b1 hold the key', course)
 
@@ -186,14 +187,14 @@
                        orderworlds.Rules(linked=False,
                                          listed_ms=_LISTED.listed_ms)),
             _Breach.FENCE,
-            [(ownership, 'change_fence', lambda state, renewal, link: None)])
+            [(ownership, 'replace_fence', lambda state, renewal, link: None)])
         self.assertIn('a1 crashes, another starts at its address', course)
         self.assertIn('a2 takes the key with fence 1, a1 had it with 1', course)
 
     def test_holds_forgotten_as_a_process_ended(self):
         course = self._find(
             _make_hunt(('restart', 'drain'), (), _LISTED), _Breach.HOLDERS,
-            [(holds, 'hand_on',
+            [(holds, 'transfer_to_replacement',
               lambda rows, server, unused_replacement: _forget(rows, server))])
         self.assertIn('a2 is about to leave', course)
         self.assertIn('b1 and a2 hold the key', course)
@@ -208,12 +209,14 @@
         self.assertIn('applied later', course)
 
     def test_moves_that_overtake_grants_under_way(self):
-        self._find(_make_hunt(('drain',), (_Fate.LATE,)), _Breach.FENCE,
-                   [(ownership, 'is_under_way', lambda state, transfer: False)])
+        self._find(
+            _make_hunt(('drain',), (_Fate.LATE,)), _Breach.FENCE,
+            [(ownership, 'has_grant_in_flight', lambda state, transfer: False)])
 
     def test_holds_without_an_allowance_for_slow_clocks(self):
         self._find(_make_hunt(('cut', 'drain'), ()), _Breach.HOLDERS,
-                   [(holds, 'CLOCK_FACTOR', 1.0), (holds, 'MARGIN_MS', 0.0)])
+                   [(holds, 'CLOCK_DRIFT_FACTOR', 1.0),
+                    (holds, 'DELIVERY_MARGIN_MS', 0.0)])
 
 
 def _forget(rows, server: str):
--- a/tests/test_edge_rebalancing.py
+++ b/tests/test_edge_rebalancing.py
@@ -39,7 +39,7 @@
     def setUp(self):
         super().setUp()
         self.capacities = {'low': 0.05, 'a': 1.0, 'b': 1.0, 'c': 1.0}
-        self.ranges = keyranges.divide_evenly(self.capacities, {}, 1)
+        self.ranges = keyranges.divide_by_weight(self.capacities, {}, 1)
         self.loads = keyloads.KeyLoads(
             {key: 5.0 for key in range(0, tables.KEY_COUNT, 1_024)})
 
@@ -61,7 +61,7 @@
 
     def setUp(self):
         super().setUp()
-        self.ranges = keyranges.divide_evenly(SPEEDS, {}, 1)
+        self.ranges = keyranges.divide_by_weight(SPEEDS, {}, 1)
         loads = _spread(140)
         loads[HOT] = 60.0
         self.loads = keyloads.KeyLoads(loads)
@@ -80,7 +80,7 @@
     def test_the_server_that_has_it_gives_other_keys_away(self):
         ranges = self._settle()
         rest = self.loads.total - 60.0
-        capacity = sum(speed**rebalancing.SPEED_POWER
+        capacity = sum(speed**rebalancing.SPEED_EXPONENT
                        for server, speed in SPEEDS.items()
                        if server != 'fast')
         for server, speed in SPEEDS.items():
@@ -88,17 +88,17 @@
                 self.loads.sum_loads(item.first, item.last)
                 for item in ranges
                 if item.server == server)
-            share = rest * speed**rebalancing.SPEED_POWER / capacity
+            share = rest * speed**rebalancing.SPEED_EXPONENT / capacity
             most = 60.0 if server == 'fast' else share
             self.assertLess(load, most * 1.1 + most**0.5)
 
     def test_the_log_can_tell_that_one_key_is_the_cause(self):
-        found = rebalancing.measure_evenness(self.ranges, self.loads, SPEEDS)
+        found = rebalancing.measure_imbalance(self.ranges, self.loads, SPEEDS)
         self.assertEqual((found.heaviest_key, found.heaviest_load), (HOT, 60.0))
         owner = keyranges.find_range(self.ranges, HOT).server
         self.assertEqual(found.busiest, owner)
         self.assertGreater(found.ratio, 3.0)
-        empty = rebalancing.measure_evenness([], keyloads.KeyLoads({}), {})
+        empty = rebalancing.measure_imbalance([], keyloads.KeyLoads({}), {})
         self.assertEqual((empty.busiest, empty.heaviest_key), ('', -1))
 
     def test_it_stays_where_no_server_is_much_faster(self):
@@ -124,7 +124,7 @@
         loads[10] = loads.get(10, 0.0) + 3.0
         capacities = dict.fromkeys((f's{index}' for index in range(16)), 1.0)
         capacities['fast'] = 2.0
-        ranges = keyranges.divide_evenly(capacities, capacities, 1)
+        ranges = keyranges.divide_by_weight(capacities, capacities, 1)
         for item in rebalancing.plan_transfers(ranges, keyloads.KeyLoads(loads),
                                                capacities):
             self.assertNotEqual((item.first, item.last), (10, 10))
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -37,7 +37,7 @@
 class KeyRangesTest(unittest.TestCase):
 
     def test_every_key_has_one_owner_however_ranges_are_cut(self):
-        ranges = keyranges.divide_evenly('abc', {'b': 2.0}, 1)
+        ranges = keyranges.divide_by_weight('abc', {'b': 2.0}, 1)
         self.assertEqual(edgeworlds.count_keys(ranges), tables.KEY_COUNT)
         laid = keyranges.reassign(
             ranges, [_range(100, 200, 'b', 2),
@@ -57,7 +57,7 @@
             _range(30, 39, 'b', 4),
             _range(40, 49, 'b', 7)
         ]
-        joined, fence = keyranges.join_neighbours(ranges, 8, [(40, 49)])
+        joined, fence = keyranges.merge_under_new_fences(ranges, 8, [(40, 49)])
         self.assertEqual(joined, (_range(0, 29, 'a', 8), _range(
             30, 39, 'b', 4), _range(40, 49, 'b', 7)))
         self.assertEqual(fence, 9)
@@ -105,7 +105,7 @@
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abcd'
         ]
-        ranges = keyranges.divide_evenly('abcd', {}, 1)
+        ranges = keyranges.divide_by_weight('abcd', {}, 1)
         rows = [(key,
                  keyranges.find_owner(keyranges.Assignment('x', 1, 1, ranges),
                                       key).server, 60.0)
@@ -151,7 +151,7 @@
         for limits in ({'a': 5.0}, {'a': 5.0, 'b': 10.0}, {'a': 0.0}):
             found = table.find_capacities(servers, now, limits)
             weights = {
-                name: capacity**rebalancing.SPEED_POWER
+                name: capacity**rebalancing.SPEED_EXPONENT
                 for name, capacity in found.items()
             }
             for name, rate in limits.items():
@@ -167,7 +167,7 @@
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abcd'
         ]
-        ranges = keyranges.divide_evenly('abcd', {}, 1)
+        ranges = keyranges.divide_by_weight('abcd', {}, 1)
         for step in range(10):
             rows = []
             for key in range(0, tables.KEY_COUNT, 700):
@@ -206,8 +206,11 @@
                 _range(number * 1_000 + 990, number * 1_000 + 999,
                        'ba'[number % 2], 2))
         load = keyloads.KeyLoads({})
-        joins = rebalancing.plan_joins(ranges, load, {'a': 1.0, 'b': 1.0})
-        self.assertEqual(len(joins), rebalancing.MOST_JOINS)
+        joins = rebalancing.plan_range_merges(ranges, load, {
+            'a': 1.0,
+            'b': 1.0
+        })
+        self.assertEqual(len(joins), rebalancing.MAX_RANGE_MERGES)
         for item in joins:
             self.assertEqual(item.last - item.first, 9)
 
@@ -244,7 +247,7 @@
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
             for name in 'abcd'
         ]
-        ranges = keyranges.divide_evenly('abcd', {}, 1)
+        ranges = keyranges.divide_by_weight('abcd', {}, 1)
         assignment = keyranges.Assignment('x', 1, 1, ranges)
 
         def report(slow_ms: float, now: float) -> None:
--- a/tests/test_edge_restore.py
+++ b/tests/test_edge_restore.py
@@ -18,7 +18,7 @@
 _SEEDS = 30
 _STEPS = 8
 # A lease of the one before has run out.
-_ELECTION_MS = ownership.LEASE_MS + 200.0
+_ELECTION_MS = ownership.COORDINATOR_LEASE_MS + 200.0
 
 
 def _drain(world: restoreworlds.World) -> None:
@@ -112,7 +112,7 @@
         _restore_without_leader(world)
         world.end_leader()
         world.take_over()
-        self.assertGreater(world.leader.state.since, world.now)
+        self.assertGreater(world.leader.state.active_since, world.now)
         world.run(8_000)
         self.assertTrue(_is_served(world))
         self.assertEqual(world.saved.era, world.era)
--- a/tests/test_platform_grants.py
+++ b/tests/test_platform_grants.py
@@ -18,7 +18,7 @@
 from lentilmoor.edge import tables
 from lentilmoor.platform import servers
 
-_Answer = ownership.Answer
+_Answer = ownership.CallOutcome
 
 
 class _Backend:
@@ -82,14 +82,14 @@
         self.calls = servers.connect_servers(self.clock)
         self.items = _divide(ranges)
         began = self.clock.now()
-        self.state = coordination.begin(
+        self.state = coordination.start_coordination(
             keyranges.Assignment('stock', 1, ranges + 2, self.items), 1, began,
             None)
-        self.state.balanced_at = began + 1e9
+        self.state.rebalanced_at = began + 1e9
         server = tables.Server('a', 'stock', address, 'd', 2, False, 0.0, 0.0)
-        self.view = ownership.View({'a': server}, frozenset(), {},
-                                   keyloads.KeyLoads({}), {})
-        self.counts: collections.Counter[ownership.Answer] = (
+        self.view = ownership.ServiceView({'a': server}, frozenset(), {},
+                                          keyloads.KeyLoads({}), {})
+        self.counts: collections.Counter[ownership.CallOutcome] = (
             collections.Counter())
         self._returned: queue.Queue = queue.Queue()
 
@@ -99,8 +99,8 @@
         with concurrent.futures.ThreadPoolExecutor(64) as pool:
             while time.monotonic() < until:
                 self._take_in()
-                for action in coordination.plan(self.state, self.view,
-                                                self.clock.now()):
+                for action in coordination.plan_actions(self.state, self.view,
+                                                        self.clock.now()):
                     if isinstance(action, ownership.Grant):
                         pool.submit(self._send, action)
                 time.sleep(0.005)
@@ -108,14 +108,14 @@
     def _take_in(self) -> None:
         while not self._returned.empty():
             action, granted, sent = self._returned.get()
-            self.counts[granted.answer] += 1
-            coordination.note_granted(self.state, action, granted, sent,
-                                      self.clock.now())
+            self.counts[granted.outcome] += 1
+            coordination.handle_grant_result(self.state, action, granted, sent,
+                                             self.clock.now())
 
     def _send(self, action: ownership.Grant) -> None:
         sent = self.clock.now()
         granted = ownership.GrantResult(_Answer.NOT_SENT)
-        if sent - action.planned_at <= ownership.STALE_MS:
+        if sent - action.planned_at <= ownership.MAX_GRANT_AGE_MS:
             granted = self.calls.grant(action)
         self._returned.put((action, granted, sent))
 
