--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -1,8 +1,9 @@
-"""Exchanges reports with the hub, several times a second.
+"""Sends reports to the hubs and handles the reports of other entries.
 
-The hub is the coordinator of a keyed service. Without one it is the entry
-with the lowest id of those on large machines, on which all agree without
-asking.
+Each entry reports several times a second. The coordinator of each keyed
+service is a hub. If no service has a coordinator, the hub is the entry on a
+large machine with the lowest instance id; every entry derives it from its own
+list of entries, without communication.
 """
 
 from collections.abc import Callable
@@ -25,43 +26,46 @@
 
 PATH = '/report'
 STATE_PATH = '/state'
-# Pause between two reports: a few times as long as a request takes. With many
-# entries it grows, so that the hub answers 125 reports a second at most, about
-# an eighth of a core.
+# Interval between two reports of an entry: a few times the duration of a
+# request. It grows with the number of entries so that the hub answers at most
+# 125 reports per second, which takes about an eighth of a core.
 REPORT_INTERVAL_MS = 250.0
 REPORT_INTERVAL_PER_ENTRY_MS = 8.0
-# Reports that a moved key asks for come no closer than this, so that the hub
-# answers 250 of them a second at most.
+# Minimum interval between reports, for those sent early because a key moved. It
+# limits the hub to at most 250 reports per second.
 MIN_REPORT_INTERVAL_MS = 25.0
 MIN_REPORT_INTERVAL_PER_ENTRY_MS = 4.0
 TIMEOUT_MS = 300.0
-# A reply is waited for as long as two pauses at least: it may come late over a
-# full link, and an entry that gives it up keeps to what it knows.
+# Timeout of a report in report intervals, if that exceeds `TIMEOUT_MS`. A reply
+# may be late on a saturated link, and an entry that drops it keeps stale data.
 TIMEOUT_INTERVALS = 2.0
-# All that the store holds is waited for so long: over a slow link it takes most
-# of a second, and who gives it up asks again. Mostly it is just what changed.
+# Timeout of a request for the store's state. The full state takes most of a
+# second over a slow link, and an entry that times out requests it again. Most
+# replies contain only changes.
 STATE_TIMEOUT_MS = 2_500.0
-# News may keep the link of who tells them busy for so long, told to all: what
-# takes longer comes too late for everybody. The rest is read from the store.
+# Maximum time for which sending the same news to all entries may occupy the
+# sender's link. Larger news would arrive too late at every entry; entries read
+# what was left out from the store.
 NEWS_LINK_BUDGET_MS = 200.0
 _BYTES_PER_MBIT = 125_000.0
-# Who lacks a configuration that the hub has asks the hub for all that it knows
-# with this probability, as others may lack it too, and any other entry else, as
-# the hub may be gone.
+# Probability that an entry requests the full state from a hub. Other entries
+# may lack the same configuration, but the hub may be unreachable, so otherwise
+# the entry asks any other entry.
 HUB_PROBABILITY = 0.5
-# A reply that took longer is told, as is one that didn't come.
+# Replies slower than this are logged, as are failed reports.
 SLOW_REPLY_MS = 500.0
-# Servers' times of work change slowly, and are a third of a reply.
+# Interval at which an entry requests the servers' times of work. They change
+# slowly and make up a third of a reply.
 WORK_TIMES_INTERVAL_MS = 1_000.0
 
 
 @dataclasses.dataclass(slots=True)
 class EvidenceVersions:
-    """How much of two quarantines' evidence has been exchanged.
+    """Quarantine versions up to which evidence was exchanged with a hub.
 
     Attributes:
-      told: Version of this entry's that the other one has taken in.
-      heard: Version of the other's that this entry has taken in.
+      confirmed: Version of this entry's quarantine that the hub has merged.
+      received: Version of the hub's quarantine that this entry has merged.
     """
 
     confirmed: int = 0
@@ -70,17 +74,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Reporter:
-    """What the exchange needs.
+    """State and dependencies of the exchange of reports.
 
     Attributes:
-      instance: This process's id.
-      forwarder: What request threads share.
+      instance: Instance id of this entry.
+      forwarder: State shared by the request threads.
       caller: Makes calls to other entries.
-      tell: Sends the control actor a message.
-      table: What was reported to this entry.
-      works_at: When it last asked for servers' times of work, ms.
-      exchanged: Evidence exchanged with each hub, by its instance id.
-      hear: Takes in how far the hub has followed the store.
+      send_control: Sends a message to the control actor.
+      table: Data that other entries reported to this one.
+      work_times_asked_at: When this entry last requested the servers' times of
+        work, ms.
+      evidence_versions: Versions of the evidence exchanged with each hub, by
+        the hub's instance id.
+      on_news: Called with the news of the store in each reply.
     """
 
     instance: str
@@ -96,12 +102,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HubReply:
-    """What a hub replied.
+    """A reply to a report.
 
     Attributes:
-      reply: Its reply.
-      asked_at: When it was asked, ms: ages count from then, as the reply's way
-        may take long.
+      reply: The reply as received.
+      sent_at: When the report was sent, ms. Ages in the reply count from then,
+        as the reply may have been in transit for a long time.
     """
 
     reply: reports.ReportReply
@@ -109,80 +115,88 @@
 
 
 def report_forever(reporter: Reporter) -> None:
-    """Reports for as long as the process lives."""
+    """Exchanges reports with the hubs until the process ends."""
     forwarder = reporter.forwarder
     while True:
         entries = len(forwarder.snapshot.entries)
-        hurry_ms = max(MIN_REPORT_INTERVAL_MS,
-                       MIN_REPORT_INTERVAL_PER_ENTRY_MS * entries)
-        pause_ms = find_report_interval(entries)
-        clocks.pause(hurry_ms)
-        forwarder.hurry.wait((pause_ms - hurry_ms) / clocks.MS_PER_S)
+        min_interval_ms = max(MIN_REPORT_INTERVAL_MS,
+                              MIN_REPORT_INTERVAL_PER_ENTRY_MS * entries)
+        interval_ms = find_report_interval(entries)
+        clocks.pause(min_interval_ms)
+        forwarder.hurry.wait((interval_ms - min_interval_ms) / clocks.MS_PER_S)
         forwarder.hurry.clear()
         exchange_reports(reporter)
 
 
 def find_report_interval(entries: int) -> float:
-    """Returns the pause between two reports of an entry, ms."""
+    """Returns the interval between two reports of an entry, ms."""
     return max(REPORT_INTERVAL_MS, REPORT_INTERVAL_PER_ENTRY_MS * entries)
 
 
 def find_news_budget(link_mbps: float, entries: int) -> float:
-    """Returns how many bytes of news a reply may carry."""
+    """Returns the maximum size of news in a reply, bytes.
+
+    Args:
+      link_mbps: Bandwidth of the sender's link, Mbit/s.
+      entries: Number of entries that receive the same news.
+    """
     bytes_per_ms = link_mbps * _BYTES_PER_MBIT / clocks.MS_PER_S
     return bytes_per_ms * NEWS_LINK_BUDGET_MS / max(1, entries)
 
 
 def exchange_reports(reporter: Reporter) -> None:
-    """Reports once to each hub, and takes in what they reply."""
+    """Reports once to each hub and applies the replies."""
     suspects.step(reporter.forwarder)
     peers = find_hubs(reporter)
-    _note_hubs(reporter, peers)
+    _update_hubs(reporter, peers)
     now = reporter.forwarder.clock.now()
-    wants_works = now - reporter.work_times_asked_at >= WORK_TIMES_INTERVAL_MS
-    if wants_works:
+    times_due = now - reporter.work_times_asked_at >= WORK_TIMES_INTERVAL_MS
+    if times_due:
         reporter.work_times_asked_at = now
     replies: list[HubReply] = []
-    rows = _take_rows(reporter.forwarder)
+    rows = _collect_samples(reporter.forwarder)
     for peer, services in peers.items():
-        told = _ask(reporter, peer,
-                    {name: rows[name] for name in services if name in rows},
-                    wants_works)
-        if told is not None:
-            replies.append(told)
+        hub_reply = _report_to(
+            reporter, peer,
+            {name: rows[name] for name in services if name in rows}, times_due)
+        if hub_reply is not None:
+            replies.append(hub_reply)
     if peers and not replies:
         _spread_evidence(reporter)
     apply_replies(reporter, replies)
 
 
-def _ask(reporter: Reporter, peer: ports.Peer,
-         rows: dict[str, list[reports.RequestSample]],
-         wants_works: bool) -> HubReply | None:
-    """Reports to an entry; returns what it replied."""
-    forwarder, asked_at = reporter.forwarder, reporter.forwarder.clock.now()
+def _report_to(reporter: Reporter, peer: ports.Peer,
+               rows: dict[str, list[reports.RequestSample]],
+               wants_works: bool) -> HubReply | None:
+    """Sends a report to an entry; returns its reply, or None if it failed."""
+    forwarder, sent_at = reporter.forwarder, reporter.forwarder.clock.now()
     versions = reporter.evidence_versions.get(peer.instance, EvidenceVersions())
     evidence, version = quarantine.list_changes(forwarder.suspects,
-                                                versions.confirmed, asked_at)
-    reply = _send(
+                                                versions.confirmed, sent_at)
+    reply = _deliver(
         reporter, peer,
         reports.Report(
             reporter.instance, rows, _count_inflight(forwarder), {
                 name: item.next_fence
                 for name, item in forwarder.snapshot.assignments.items()
             }, forwarder.followed, wants_works,
-            ratelimits.list_limits(forwarder.rate_limits, asked_at),
+            ratelimits.list_limits(forwarder.rate_limits, sent_at),
             _list_draining(forwarder), evidence, peer.instance,
             versions.received))
     if reply is None:
         return None
-    suspects.merge(forwarder, reply.evidence, asked_at)
+    suspects.merge(forwarder, reply.evidence, sent_at)
     if reply.hub == peer.instance:
         versions.confirmed, versions.received = version, reply.evidence_version
-    return HubReply(reply, asked_at)
+    return HubReply(reply, sent_at)
 
 
-def _note_hubs(reporter: Reporter, peers: dict[ports.Peer, set[str]]) -> None:
-    """Notes who the hubs are now; only the first tries blocked requests."""
+def _update_hubs(reporter: Reporter, peers: dict[ports.Peer, set[str]]) -> None:
+    """Updates state that depends on the current hubs.
+
+    Only the first hub tries suspected requests.
+    """
     first = next(iter(peers), None)
     reporter.forwarder.tries_suspects = (first is not None and
                                          first.instance == reporter.instance)
@@ -194,18 +208,22 @@
 
 
 def _spread_evidence(reporter: Reporter) -> None:
-    """Tells any other entry what no hub knows yet, while none answers."""
+    """Sends evidence that no hub has confirmed to a random other entry.
+
+    This is done while no hub answers.
+    """
     forwarder = reporter.forwarder
-    told = max((row.confirmed for row in reporter.evidence_versions.values()),
-               default=0)
+    version = max(
+        (row.confirmed for row in reporter.evidence_versions.values()),
+        default=0)
     others = sorted(requests.list_others(forwarder))
-    if others and told < forwarder.suspects.version:
-        _ask(reporter, ports.Peer('', forwarder.generator.choice(others)), {},
-             False)
+    if others and version < forwarder.suspects.version:
+        _report_to(reporter, ports.Peer('', forwarder.generator.choice(others)),
+                   {}, False)
 
 
 def find_hubs(reporter: Reporter) -> dict[ports.Peer, set[str]]:
-    """Returns whom to report to, and which services' keys to tell them."""
+    """Returns the hubs, each with the services that it coordinates."""
     snapshot = reporter.forwarder.snapshot
     peers: dict[ports.Peer, set[str]] = {}
     for service, peer in sorted(snapshot.coordinators.items()):
@@ -218,37 +236,41 @@
 
 
 def handle_report(reporter: Reporter,
-                  found: reports.Report) -> reports.ReportReply:
-    """Takes in an entry's report and returns what follows from all."""
+                  report: reports.Report) -> reports.ReportReply:
+    """Records an entry's report and returns the reply.
+
+    The reply combines the reports of all entries.
+    """
     forwarder = reporter.forwarder
     now, table = forwarder.clock.now(), reporter.table
-    # What is told is at least as new as these say.
+    # Read before the data itself, so that the data is at least as recent as
+    # these ages and revisions indicate.
     known = forwarder.freshness.known
     configuration_revision = forwarder.configuration_revision
     revision, version = forwarder.followed, forwarder.newest_version
-    hub.record_inflight(table, found.entry, found.inflight, now)
-    suspects.merge(forwarder, found.evidence, now)
-    heard = found.evidence_seen if found.hub == reporter.instance else 0
+    hub.record_inflight(table, report.entry, report.inflight, now)
+    suspects.merge(forwarder, report.evidence, now)
+    seen = report.evidence_seen if report.hub == reporter.instance else 0
     evidence, evidence_version = quarantine.list_changes(
-        forwarder.suspects, heard, now)
-    hub.record_limits(table, found.limits, now)
-    if found.draining:
-        reporter.send_control(control.DrainingReported(found.draining))
-    if found.rows:
-        reporter.send_control(control.Reported(found.rows))
+        forwarder.suspects, seen, now)
+    hub.record_limits(table, report.limits, now)
+    if report.draining:
+        reporter.send_control(control.DrainingReported(report.draining))
+    if report.rows:
+        reporter.send_control(control.Reported(report.rows))
     assignments = {
         name: item
         for name, item in forwarder.snapshot.assignments.items()
-        if item.next_fence > found.known.get(name, 0)
+        if item.next_fence > report.known.get(name, 0)
     }
     return reports.ReportReply(
-        others=hub.count_others_inflight(table, found.entry, now),
+        others=hub.count_others_inflight(table, report.entry, now),
         assignments=assignments,
-        coordinated=_tell_coordinated(reporter, found.wants_works),
+        coordinated=_list_coordinated(reporter, report.wants_works),
         revision=revision,
-        since=found.revision,
+        since=report.revision,
         changes=forwarder.platform.store.tell_news(
-            found.revision,
+            report.revision,
             find_news_budget(forwarder.platform.settings.link_mbps,
                              len(forwarder.snapshot.entries)), None),
         news_age_ms=requests.find_age(forwarder, known.servers_at),
@@ -262,35 +284,37 @@
         evidence_version=evidence_version)
 
 
-def _tell_coordinated(reporter: Reporter,
-                      works: bool) -> dict[str, tables.Coordinated]:
-    """Returns what this entry tells of the services that it coordinates."""
-    told = reporter.forwarder.coordinated
-    if works:
-        return told
+def _list_coordinated(
+        reporter: Reporter,
+        include_work_times: bool) -> dict[str, tables.Coordinated]:
+    """Returns the state of the services that this entry coordinates."""
+    services = reporter.forwarder.coordinated
+    if include_work_times:
+        return services
     return {
         name: tables.Coordinated(item.unserved, {})
-        for name, item in told.items()
+        for name, item in services.items()
     }
 
 
 def fetch_state_from_peer(reporter: Reporter,
                           whole: bool) -> ports.Everything | None:
-    """Asks another entry what the store holds.
+    """Fetches the store's state from a randomly chosen other entry.
 
     Args:
-      reporter: Knows the other entries.
-      whole: Whether to ask for all, not for what has changed since.
+      reporter: Lists the other entries and makes the call.
+      whole: Whether to fetch the full state, not only changes since the
+        revision that this entry has followed.
 
     Returns:
-      Everything, if another entry knows more than this one.
+      The merged state, or None if the call failed or returned nothing newer.
     """
     forwarder = reporter.forwarder
-    known = requests.list_others(forwarder)
-    if not known:
+    addresses = requests.list_others(forwarder)
+    if not addresses:
         return None
-    address = forwarder.generator.choice(sorted(known))
-    hubs = known & {peer.address for peer in find_hubs(reporter)}
+    address = forwarder.generator.choice(sorted(addresses))
+    hubs = addresses & {peer.address for peer in find_hubs(reporter)}
     if whole and hubs and forwarder.generator.random() < HUB_PROBABILITY:
         address = min(hubs)
     return fetch_state(reporter, address, 0 if whole else forwarder.followed)
@@ -298,15 +322,15 @@
 
 def fetch_state(reporter: Reporter, address: str,
                 since: int) -> ports.Everything | None:
-    """Asks an entry what has changed in the store.
+    """Fetches the store's state from an entry.
 
     Args:
       reporter: Makes the call.
-      address: The entry's.
-      since: The revision from which on; 0 for all that it knows.
+      address: Address of the other entry.
+      since: Revision after which changes are fetched; 0 for the full state.
 
     Returns:
-      Everything, if it knows more than this one.
+      The merged state, or None if the call failed or returned nothing newer.
     """
     result = reporter.caller.call(
         address, httpcalls.Request('POST', STATE_PATH,
@@ -317,27 +341,28 @@
     return reporter.forwarder.platform.store.restore(result.body)
 
 
-def _send(reporter: Reporter, peer: ports.Peer,
-          found: reports.Report) -> reports.ReportReply | None:
+def _deliver(reporter: Reporter, peer: ports.Peer,
+             report: reports.Report) -> reports.ReportReply | None:
     if peer.instance == reporter.instance:
-        return handle_report(reporter, found)
+        return handle_report(reporter, report)
     clock = reporter.forwarder.clock
-    pause_ms = find_report_interval(len(reporter.forwarder.snapshot.entries))
-    data = reports.encode_report(found)
+    interval_ms = find_report_interval(len(reporter.forwarder.snapshot.entries))
+    data = reports.encode_report(report)
     sent_at = clock.now()
-    result = reporter.caller.call(peer.address,
-                                  httpcalls.Request('POST', PATH, data),
-                                  max(TIMEOUT_MS, TIMEOUT_INTERVALS * pause_ms))
-    _note_reply(reporter, peer, len(data), clock.now() - sent_at, result)
+    result = reporter.caller.call(
+        peer.address, httpcalls.Request('POST', PATH, data),
+        max(TIMEOUT_MS, TIMEOUT_INTERVALS * interval_ms))
+    _log_failed_or_slow_reply(reporter, peer, len(data),
+                              clock.now() - sent_at, result)
     if isinstance(result, outcomes.Failed) or result.status != 200:
         return None
     return reports.decode_report_reply(result.body)
 
 
-def _note_reply(reporter: Reporter, peer: ports.Peer, sent_bytes: int,
-                took_ms: float,
-                result: httpcalls.Reply | outcomes.Failed) -> None:
-    """Tells of a reply that didn't come, or was slow."""
+def _log_failed_or_slow_reply(
+        reporter: Reporter, peer: ports.Peer, sent_bytes: int, took_ms: float,
+        result: httpcalls.Reply | outcomes.Failed) -> None:
+    """Logs a failed report, an error status, or a slow reply."""
     failed = isinstance(result, outcomes.Failed)
     if not failed and result.status == 200 and took_ms < SLOW_REPLY_MS:
         return
@@ -350,29 +375,34 @@
         reply_bytes=0 if failed else len(result.body))
 
 
-def _apply_rate_limits(reporter: Reporter, told: HubReply) -> None:
+def _apply_rate_limits(reporter: Reporter, hub_reply: HubReply) -> None:
     """Updates the entry's rate limits from a hub's reply."""
     forwarder = reporter.forwarder
-    for server, (rate, age_ms) in told.reply.limits.items():
+    for server, (rate, age_ms) in hub_reply.reply.limits.items():
         ratelimits.note_reported_limit(forwarder.rate_limits, server, rate,
-                                       told.sent_at - age_ms, forwarder.logger)
+                                       hub_reply.sent_at - age_ms,
+                                       forwarder.logger)
 
 
 def apply_replies(reporter: Reporter, replies: list[HubReply]) -> None:
-    """Takes in what the hubs told; what none tells any more is forgotten."""
+    """Applies the hubs' replies.
+
+    Unserved ranges that no reply contains are dropped.
+    """
     forwarder = reporter.forwarder
     now = forwarder.clock.now()
     coordinated: dict[str, tables.Coordinated] = {}
-    for told in replies:
-        reply = told.reply
+    for hub_reply in replies:
+        reply = hub_reply.reply
         coordinated.update(reply.coordinated)
-        _hear_assignments(reporter, reply)
-        heard = tables.News(reply.revision, told.sent_at - reply.news_age_ms,
-                            reply.since, reply.changes, reply.version,
-                            told.sent_at - reply.configuration_age_ms,
-                            reply.configuration_revision)
-        reporter.on_news(heard)
-        _apply_rate_limits(reporter, told)
+        _apply_assignments(reporter, reply)
+        news = tables.News(reply.revision,
+                           hub_reply.sent_at - reply.news_age_ms, reply.since,
+                           reply.changes, reply.version,
+                           hub_reply.sent_at - reply.configuration_age_ms,
+                           reply.configuration_revision)
+        reporter.on_news(news)
+        _apply_rate_limits(reporter, hub_reply)
         with forwarder.lock:
             for name, state in forwarder.states.items():
                 state.reported = float(reply.others.get(name, 0))
@@ -388,14 +418,14 @@
                 state.shared_ms = work_ms
 
 
-def _hear_assignments(reporter: Reporter, reply: reports.ReportReply) -> None:
+def _apply_assignments(reporter: Reporter, reply: reports.ReportReply) -> None:
     for name, item in reply.assignments.items():
         known = reporter.forwarder.snapshot.assignments.get(name)
         if known is None or keyranges.is_newer(item, known):
             reporter.send_control(control.AssignmentHeard(item))
 
 
-def _take_rows(
+def _collect_samples(
         forwarder: requests.Forwarder
 ) -> dict[str, list[reports.RequestSample]]:
     samples, forwarder.samples = forwarder.samples, []
@@ -407,7 +437,7 @@
 
 
 def _list_draining(forwarder: requests.Forwarder) -> list[str]:
-    """Returns the ids of servers whose answers reported draining."""
+    """Returns the ids of servers that reported in answers that they drain."""
     with forwarder.lock:
         return [
             name for name, state in forwarder.states.items()
