--- a/lentilmoor/edge/hub.py
+++ b/lentilmoor/edge/hub.py
@@ -1,7 +1,7 @@
-"""What one entry knows from the reports of all.
+"""Combines the reports of all entries at the hub.
 
-Requests under way add up over entries, which tells a server's backlog far
-better than what the server told one of them a while ago.
+The sum of all entries' requests in flight is a far better estimate of a
+server's backlog than the load that the server last reported to one of them.
 """
 
 import dataclasses
@@ -9,7 +9,7 @@
 
 from lentilmoor.edge import reports
 
-# A report counts for so long; entries report several times as often.
+# Older reports are dropped. Entries report several times as often.
 REPORT_RETENTION_MS = 1_200.0
 # A rate limit is dropped if no answer has confirmed it for this time.
 LIMIT_RETENTION_MS = 10_000.0
@@ -17,17 +17,18 @@
 
 @dataclasses.dataclass(slots=True)
 class HubTable:
-    """Reports by entry; for many threads.
+    """Data from the latest report of each entry; thread-safe.
 
     Attributes:
-      inflight: When each entry last reported, ms, and its requests under way.
-      totals: Requests of all entries under way, by server. They are kept up
-        with each report, as adding them up for each reply would take the hub's
-        time with many entries.
-      expired_at: When old reports were last dropped, ms.
+      inflight: By entry: when it last reported, ms, and its requests in flight
+        by server id.
+      inflight_totals: Requests in flight of all entries, by server id. They are
+        updated with each report, because computing the sums for each reply
+        would take too much of the hub's processor time with many entries.
+      last_expiry_at: When expired reports were last dropped, ms.
       limits: By server id: the newest rate limit, None if it has ended, and
         when the server's answer was received, ms.
-      lock: Guards all of them.
+      lock: Guards all other attributes.
     """
 
     inflight: dict[str,
@@ -43,9 +44,9 @@
 
 def record_inflight(table: HubTable, entry: str, inflight: dict[str, int],
                     now: float) -> None:
-    """Takes in an entry's requests under way."""
+    """Records an entry's requests in flight by server id."""
     with table.lock:
-        _drop(table, entry)
+        _drop_report(table, entry)
         table.inflight[entry] = (now, inflight)
         for server, count in inflight.items():
             table.inflight_totals[server] = table.inflight_totals.get(
@@ -54,13 +55,13 @@
 
 def count_others_inflight(table: HubTable, entry: str,
                           now: float) -> dict[str, int]:
-    """Returns requests under way at servers, less those of one entry."""
+    """Returns the requests in flight of all other entries, by server id."""
     with table.lock:
         if now - table.last_expiry_at > REPORT_RETENTION_MS / 4:
             table.last_expiry_at = now
             for name, (at, _) in list(table.inflight.items()):
                 if now - at > REPORT_RETENTION_MS:
-                    _drop(table, name)
+                    _drop_report(table, name)
         others = dict(table.inflight_totals)
         _, own = table.inflight.get(entry, (0.0, {}))
     for server, count in own.items():
@@ -70,8 +71,8 @@
     return others
 
 
-def _drop(table: HubTable, entry: str) -> None:
-    """Takes an entry's report out of the totals; the lock is held."""
+def _drop_report(table: HubTable, entry: str) -> None:
+    """Removes an entry's report from the totals; requires the lock."""
     _, counts = table.inflight.pop(entry, (0.0, {}))
     for server, count in counts.items():
         table.inflight_totals[server] -= count
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -213,11 +213,11 @@
     This is done while no hub answers.
     """
     forwarder = reporter.forwarder
-    version = max(
+    confirmed_version = max(
         (row.confirmed for row in reporter.evidence_versions.values()),
         default=0)
     others = sorted(requests.list_others(forwarder))
-    if others and version < forwarder.suspects.version:
+    if others and confirmed_version < forwarder.suspects.version:
         _report_to(reporter, ports.Peer('', forwarder.generator.choice(others)),
                    {}, False)
 
--- a/lentilmoor/edge/reports.py
+++ b/lentilmoor/edge/reports.py
@@ -1,8 +1,9 @@
-"""What entries tell each other, over HTTP with JSON bodies.
+"""Messages between entries, sent over HTTP with JSON bodies.
 
-Each entry reports to the hub, which is the coordinator of a keyed service, or
-any entry that all agree on. The hub answers with what follows from all
-reports. So an entry that is cut off from the store learns new owners too.
+Each entry reports to the hubs: the coordinators of the keyed services or, if
+there are none, one entry that all entries derive from the list of entries. The
+hub's reply combines the reports of all entries. It includes new assignments of
+keys, so an entry that can't reach the store still receives them.
 """
 
 from collections.abc import Callable
@@ -16,11 +17,11 @@
 from lentilmoor.edge import tables
 
 _T = TypeVar('_T')
-# The age of what was never heard; JSON knows no infinity.
+# Age of data that was never received; JSON can't represent infinity.
 UNKNOWN_AGE_MS = 1e9
 
 RequestSample = tuple[int, str, float]
-"""Key, server id, time of work in ms; 0 if the server did not run it."""
+"""A request: key, server id, and time of work in ms, 0 if it was not run."""
 
 ReportedLimits = dict[str, tuple[float | None, float]]
 """Rate limits by server id: requests per second, None if the limit has ended,
@@ -29,20 +30,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What an entry saw since its last report.
+    """An entry's report to a hub.
 
     Attributes:
-      entry: Its instance id.
-      rows: Requests for keys, by service.
-      inflight: Its requests under way, by server id.
-      known: The `next_fence` of the assignment that it knows, by service.
-      revision: How far it has followed the store.
-      wants_works: Whether it wants to be told servers' times of work.
+      entry: Instance id of the sender.
+      rows: Requests with keys since the last report, by service.
+      inflight: Number of the sender's requests in flight, by server id.
+      known: The `next_fence` of the sender's current assignment, by service.
+      revision: Revision of the store up to which the sender has followed it.
+      wants_works: Whether the reply should contain the servers' times of work.
       limits: Rate limits in force, and those that ended recently.
       draining: Ids of servers whose answers reported draining.
-      evidence: What the hub doesn't know yet of requests that crash servers.
-      hub: Instance id of the hub that the next field speaks of.
-      evidence_seen: Version of the hub's quarantine that it knows.
+      evidence: Evidence of requests that crash servers which the hub has not
+        confirmed.
+      hub: Instance id of the hub to which `evidence_seen` refers.
+      evidence_seen: Version of the hub's quarantine that the sender has merged.
     """
 
     entry: str
@@ -61,24 +63,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportReply:
-    """What follows from all entries' reports.
+    """The reply to a report, which combines the reports of all entries.
 
     Attributes:
-      others: Requests of other entries under way, by server id.
-      assignments: Those that are newer than what the entry knows.
-      coordinated: What the hub tells of services that it coordinates.
-      revision: How far the hub has followed the store.
-      since: The revision that the report named.
-      changes: What has changed since then (see `ports.Store.tell_news`).
-      news_age_ms: How long ago the hub last heard from the store.
-      version: Of the newest configuration that the hub knows to be in force.
-      configuration_age_ms: How long ago it knew that there was no newer one
-        than it has.
-      configuration_revision: Up to which revision it knows that.
+      others: Number of other entries' requests in flight, by server id.
+      assignments: Assignments that are newer than those in the report, by
+        service.
+      coordinated: State of the services that the hub coordinates, by service.
+      revision: Revision of the store up to which the hub has followed it.
+      since: `revision` of the report.
+      changes: Changes of the store since then (see `ports.Store.tell_news`).
+      news_age_ms: Age of the hub's copy of the store.
+      version: Version of the newest configuration that the hub knows to be in
+        force.
+      configuration_age_ms: Time since the hub's own configuration was last
+        known to be the newest.
+      configuration_revision: Revision of the store up to which it is known to
+        be the newest.
       limits: The newest rate limit of each server, from all reports.
-      hub: Instance id of who replies.
-      evidence: What the entry doesn't know yet of requests that crash servers.
-      evidence_version: Version of the hub's quarantine up to which that is all.
+      hub: Instance id of the sender.
+      evidence: Evidence of requests that crash servers which the entry has not
+        confirmed.
+      evidence_version: Version of the hub's quarantine that the entry has once
+        it has merged `evidence`.
     """
 
     others: dict[str, int]
@@ -100,13 +107,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewsRequest:
-    """What an entry asks another to be told of changes.
+    """A request for news: for changes of the store.
 
     Attributes:
-      entry: Its instance id.
-      revision: How far it has followed the store.
-      version: Of the configuration that it knows; None if it doesn't say.
-      waits: Whether to wait for a change if there is none.
+      entry: Instance id of the sender.
+      revision: Revision of the store up to which the sender has followed it.
+      version: Version of the sender's configuration; None to get no
+        configuration in addition to the changes.
+      waits: Whether the receiver waits for a change if there is none (a long
+        poll).
     """
 
     entry: str
@@ -117,19 +126,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewsReply:
-    """What has changed in the store.
+    """The reply to a request for news.
 
     Attributes:
-      revision: How far the one that replies has followed the store.
-      since: The revision that the request named.
-      changes: What has changed since then (see `ports.Store.tell_news`).
-      news_age_ms: How long ago all that the store held was known.
-      version: Of the newest configuration that it knows to be in force.
-      held_ms: How long it waited for a change.
-      configuration_age_ms: How long ago it knew that there was no newer one
-        than it has.
-      configuration_revision: Up to which revision it knows that.
-      unanswered_ms: For how long the store has answered it nothing.
+      revision: Revision of the store up to which the sender has followed it.
+      since: `revision` of the request.
+      changes: Changes of the store since then (see `ports.Store.tell_news`).
+      news_age_ms: Age of the sender's copy of the store.
+      version: Version of the newest configuration that the sender knows to be
+        in force.
+      held_ms: How long the sender waited for a change.
+      configuration_age_ms: Time since the sender's own configuration was last
+        known to be the newest.
+      configuration_revision: Revision of the store up to which it is known to
+        be the newest.
+      unanswered_ms: Time for which the store has answered no call of the sender;
+        0 if it answered the last one.
     """
 
     revision: int
@@ -172,37 +184,37 @@
 
 
 def encode_report(report: Report) -> bytes:
-    """Returns a report as it travels."""
+    """Returns a report encoded as JSON."""
     return msgspec.json.encode(report)
 
 
 def decode_report(data: bytes) -> Report | None:
-    """Returns a report, or None if it doesn't parse."""
+    """Returns a decoded report, or None if it is invalid."""
     return _decode(_read_report, data)
 
 
 def encode_report_reply(reply: ReportReply) -> bytes:
-    """Returns a reply as it travels."""
+    """Returns a reply to a report encoded as JSON."""
     return msgspec.json.encode(reply)
 
 
 def decode_report_reply(data: bytes) -> ReportReply | None:
-    """Returns a reply, or None if it doesn't parse."""
+    """Returns a decoded reply to a report, or None if it is invalid."""
     return _decode(_read_reply, data)
 
 
 def encode_news(message: NewsRequest | NewsReply) -> bytes:
-    """Returns a request for news, or its reply, as it travels."""
+    """Returns a news request or reply encoded as JSON."""
     return msgspec.json.encode(message)
 
 
 def decode_news_request(data: bytes) -> NewsRequest | None:
-    """Returns a request for news, or None if it doesn't parse."""
+    """Returns a decoded news request, or None if it is invalid."""
     return _decode(_read_news_request, data)
 
 
 def decode_news_reply(data: bytes) -> NewsReply | None:
-    """Returns a reply to a request for news, or None if it doesn't parse."""
+    """Returns a decoded news reply, or None if it is invalid."""
     return _decode(_read_news_reply, data)
 
 
