--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -1,12 +1,13 @@
-"""Has other entries tell an entry of changes, as they come.
+"""Requests changes of the store ("news") from other entries.
 
-A request for news waits at the entry that is asked, the parent in the tree of
-`relays`, until there is a change or its time is over. So changes spread at
-once, nothing is sent twice, and a parent that fell silent is noticed soon.
+Requests for news are long polls: each waits at the requested entry, the parent
+in the tree of `relays`, until there is a change or it times out. So changes
+spread immediately, nothing is sent twice, and a parent that no longer answers
+is noticed soon.
 
-That an entry answers doesn't make what it knows recent. An entry whose copy of
-the store grows old asks a few others at random, again and again: whoever is
-told by the store or by somebody else tells the rest within a few rounds.
+An entry may answer although its own data is stale. So an entry whose copy of
+the store becomes stale repeatedly asks a few other entries at random. If any
+entry receives data from the store, it reaches all others within a few rounds.
 """
 
 import threading
@@ -23,15 +24,16 @@
 from lentilmoor.edge import tables
 
 PATH = '/news'
-# Changes that come in quick succession are told together.
+# Minimum pause between two requests. Changes in quick succession are sent
+# together.
 BATCH_INTERVAL_MS = 30.0
 CONNECT_TIMEOUT_MS = 300.0
-# Entries that are asked at a time by one whose copy of the store is old.
+# Entries that an entry with a stale copy of the store asks in each round.
 RANDOM_PEERS = 3
 
 
 def request_news_forever(follower: knowledge.Follower) -> None:
-    """Asks for news for as long as the process lives."""
+    """Requests news from the parent until the process ends."""
     avoided: dict[str, float] = {}
     while True:
         follower.place = find_place(follower)
@@ -40,73 +42,79 @@
 
 def request_news(follower: knowledge.Follower, avoided: dict[str,
                                                              float]) -> float:
-    """Asks once for news, if there is somebody to ask.
+    """Requests news once, if the entry has a parent, and applies it.
 
     Args:
-      follower: Takes them in.
-      avoided: Until when others aren't to be asked, ms, by address.
+      follower: State of the entry that follows the store.
+      avoided: By address: the time until which an entry is avoided, ms. Updated
+        by this function.
 
     Returns:
-      The pause until the next time, ms.
+      The pause before the next request, ms.
     """
     limits = follower.reporter.forwarder.limits
     if follower.place is None or follower.seen is None:
         return limits.hold_ms
     began = follower.clock.now()
     address = choose_parent(follower.place, avoided, began)
-    heard = _ask(follower, address, True)
+    news = _fetch_news(follower, address, True)
     now = follower.clock.now()
-    if heard is not None:
+    if news is not None:
         follower.told_at = now
-        knowledge.take_news(follower, heard)
-    # One that doesn't answer or knows nothing recent keeps this entry from
-    # asking others.
-    if heard is None or began - heard.seen_at > limits.seek_ms:
+        knowledge.take_news(follower, news)
+    # A parent that doesn't answer or has only stale data is avoided for a
+    # while. Otherwise this entry would not ask another one.
+    if news is None or began - news.seen_at > limits.seek_ms:
         avoided[address] = now + limits.seek_ms
-    if heard is not None and heard.changes:
+    if news is not None and news.changes:
         return BATCH_INTERVAL_MS
     return max(BATCH_INTERVAL_MS, limits.hold_ms - (now - began))
 
 
 def ask_random_peers(follower: knowledge.Follower) -> None:
-    """Asks others at random if what is known is old; returns at once."""
+    """Asks random entries for news if the copy of the store is stale.
+
+    The requests are sent by other threads; this function doesn't block.
+    """
     forwarder, now = follower.reporter.forwarder, follower.clock.now()
     limits, known = forwarder.limits, forwarder.freshness.known
     known_at = min(known.servers_at, known.configuration_at)
     if follower.seen is None or now - known_at < limits.seek_ms:
-        _note_sought(follower, now, False)
+        _update_staleness(follower, now, False)
         return
     pause_ms = limits.seek_pause_ms
     if now - known_at > limits.silent_ms:
         pause_ms *= staleness.SLOW_SEEK
     if now - follower.sought_at < pause_ms:
         return
-    _note_sought(follower, now, True)
+    _update_staleness(follower, now, True)
     if requests.is_store_away(forwarder):
         forwarder.freshness.away_at = now
     if now - follower.probed_at >= limits.read_ms:
-        # Whether the store answers tells what the others' silence means.
+        # If other entries have no news either, the result of the probe shows
+        # whether the store is unavailable.
         follower.probed_at = now
         follower.probe()
     others = sorted(requests.list_others(forwarder))
     chosen = forwarder.generator.sample(others, min(RANDOM_PEERS, len(others)))
     for position, address in enumerate(chosen):
         if follower.seeking.acquire(blocking=False):
-            # One of them tells the configuration: it may be large.
-            threading.Thread(target=_ask_any,
+            # Only the first is asked for the configuration, as it may be large.
+            threading.Thread(target=_ask_peer,
                              args=(follower, address, position == 0),
                              daemon=True).start()
 
 
-def _note_sought(follower: knowledge.Follower, now: float, old: bool) -> None:
-    """Logs when what is known turns old, and when it is recent again."""
-    if old == follower.outdated:
-        follower.sought_at = now if old else follower.sought_at
+def _update_staleness(follower: knowledge.Follower, now: float,
+                      stale: bool) -> None:
+    """Records whether the copy of the store is stale; logs each change."""
+    if stale == follower.outdated:
+        follower.sought_at = now if stale else follower.sought_at
         return
-    follower.outdated, follower.sought_at = old, now
+    follower.outdated, follower.sought_at = stale, now
     forwarder = follower.reporter.forwarder
     known = forwarder.freshness.known
-    follower.logger.info('copy_outdated' if old else 'copy_recent',
+    follower.logger.info('copy_outdated' if stale else 'copy_recent',
                          age_ms=round(
                              requests.find_age(forwarder, known.servers_at)),
                          configuration_age_ms=round(
@@ -114,24 +122,26 @@
                                                known.configuration_at)))
 
 
-def _ask_any(follower: knowledge.Follower, address: str, lacks: bool) -> None:
-    """Asks an entry what it knows, and for everything if that leaves a gap.
+def _ask_peer(follower: knowledge.Follower, address: str,
+              wants_configuration: bool) -> None:
+    """Requests news from an entry, and the full state if the news leaves a gap.
 
     Args:
-      follower: Who asks.
-      address: The other entry's.
-      lacks: Whether it is to tell the configuration if that is newer.
+      follower: State of the entry that sends the request.
+      address: Address of the other entry.
+      wants_configuration: Whether the reply should contain the configuration
+        if it is newer.
     """
     try:
-        heard = _ask(follower, address, False, lacks)
-        if heard is not None and not knowledge.take_news(follower, heard):
-            _learn(follower, address)
+        news = _fetch_news(follower, address, False, wants_configuration)
+        if news is not None and not knowledge.take_news(follower, news):
+            _fetch_full_state(follower, address)
     finally:
         follower.seeking.release()
 
 
-def _learn(follower: knowledge.Follower, address: str) -> None:
-    """Learns all that another entry knows, unless this is under way."""
+def _fetch_full_state(follower: knowledge.Follower, address: str) -> None:
+    """Fetches another entry's full state, unless a fetch is in progress."""
     if not follower.learning.acquire(blocking=False):
         return
     try:
@@ -144,42 +154,52 @@
 
 def choose_parent(place: relays.Place, avoided: dict[str, float],
                   now: float) -> str:
-    """Returns whom to ask: the first that isn't avoided, or was so longest."""
+    """Returns the first parent that isn't avoided.
+
+    If all are avoided, it is the one that stops being avoided first.
+
+    Args:
+      place: The entry's place in the tree of relays.
+      avoided: By address: the time until which an entry is avoided, ms.
+      now: The current time, ms.
+    """
     return min(place.parents,
                key=lambda address: max(0.0,
                                        avoided.get(address, 0.0) - now))
 
 
 def find_place(follower: knowledge.Follower) -> relays.Place | None:
-    """Returns an entry's place among the relays; None if the hub tells it."""
+    """Returns the entry's place in the tree; None if it has no parents."""
     reporter = follower.reporter
     hubs = {peer.address for peer in reporting.find_hubs(reporter)}
     return relays.find_place(follower.own, reporter.forwarder.snapshot.entries,
                              hubs)
 
 
-def _ask(follower: knowledge.Follower,
-         address: str,
-         waits: bool,
-         lacks: bool = True) -> tables.News | None:
-    """Asks an entry for news; None if it doesn't answer.
+def _fetch_news(follower: knowledge.Follower,
+                address: str,
+                waits: bool,
+                wants_configuration: bool = True) -> tables.News | None:
+    """Requests news from an entry; returns None if the request failed.
 
     Args:
-      follower: Who asks.
-      address: The other entry's.
-      waits: Whether the other is to wait for a change.
-      lacks: Whether it is to tell the configuration if that is newer.
+      follower: State of the entry that sends the request.
+      address: Address of the other entry.
+      waits: Whether the other entry waits for a change.
+      wants_configuration: Whether the reply should contain the configuration
+        if it is newer.
     """
     reporter = follower.reporter
     forwarder = reporter.forwarder
     data = reports.encode_news(
         reports.NewsRequest(reporter.instance, forwarder.followed,
-                            forwarder.version if lacks else None, waits))
+                            forwarder.version if wants_configuration else None,
+                            waits))
     asked_at = follower.clock.now()
-    wait_ms = forwarder.limits.hold_ms if waits else 0.0
+    max_wait_ms = forwarder.limits.hold_ms if waits else 0.0
     result = reporter.caller.call(address,
                                   httpcalls.Request('POST', PATH, data),
-                                  wait_ms + forwarder.limits.ask_ms,
+                                  max_wait_ms + forwarder.limits.ask_ms,
                                   CONNECT_TIMEOUT_MS)
     failed = isinstance(result, outcomes.Failed)
     reply = None
@@ -192,8 +212,9 @@
             reason=result.reason.value if failed else str(result.status),
             took_ms=round(follower.clock.now() - asked_at))
         return None
-    # What is known is as old as it was when the reply was written, and its way
-    # may have taken all the time for which it wasn't held.
+    # Ages in the reply count from when it was written. Apart from the time for
+    # which the request was held, all the time may have been spent on the way
+    # back, so the oldest possible time is assumed.
     replied_at = asked_at + reply.held_ms
     staleness.note_copy(forwarder.freshness, replied_at - reply.news_age_ms)
     if reply.unanswered_ms >= forwarder.limits.unanswered_ms:
@@ -205,21 +226,26 @@
                        reply.configuration_revision)
 
 
-def handle_news_request(follower: knowledge.Follower,
-                        asked: reports.NewsRequest) -> reports.NewsReply | None:
-    """Tells what has changed, once there is something; None if nothing known.
+def handle_news_request(
+        follower: knowledge.Follower,
+        request: reports.NewsRequest) -> reports.NewsReply | None:
+    """Returns news for another entry, after waiting for a change if requested.
 
     Args:
-      follower: Knows what has changed.
-      asked: Who asks, and how far it has followed.
+      follower: State of this entry.
+      request: The request.
+
+    Returns:
+      The reply, or None if this entry has no copy of the store yet.
     """
     forwarder = follower.reporter.forwarder
     began = follower.clock.now()
-    lacks = asked.version is not None and asked.version < forwarder.version
-    if asked.waits and not lacks:
-        knowledge.await_change(follower, asked.revision,
+    stale = request.version is not None and request.version < forwarder.version
+    if request.waits and not stale:
+        knowledge.await_change(follower, request.revision,
                                forwarder.limits.hold_ms)
-    # What is told is at least as new as these say.
+    # Read before the data itself, so that the data is at least as recent as
+    # these ages and revisions indicate.
     known = forwarder.freshness.known
     known_at = follower.clock.now()
     configuration_revision = forwarder.configuration_revision
@@ -227,11 +253,11 @@
     if seen is None:
         return None
     store, settings = forwarder.platform.store, forwarder.platform.settings
-    room = reporting.find_news_budget(settings.link_mbps, relays.FANOUT)
+    max_bytes = reporting.find_news_budget(settings.link_mbps, relays.FANOUT)
     return reports.NewsReply(
         revision=seen.revision,
-        since=asked.revision,
-        changes=store.tell_news(asked.revision, room, asked.version),
+        since=request.revision,
+        changes=store.tell_news(request.revision, max_bytes, request.version),
         news_age_ms=min(known_at - known.servers_at, reports.UNKNOWN_AGE_MS),
         version=forwarder.newest_version,
         held_ms=known_at - began,
