--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -1,4 +1,4 @@
-"""The hub, which tells all other entries what has changed."""
+"""Tests of the hub, which sends changes to all other entries."""
 
 import functools
 import http.client
@@ -26,18 +26,17 @@
 from tests import platformhelp
 
 
-class PaceTest(unittest.TestCase):
-    """A request reached a server 2.6 s after it had said that it leaves.
+class ControlPaceTest(unittest.TestCase):
+    """Guards against a hub whose control actor uses all processor time.
 
-    The entry that sent it had not heard of that. The hub, which tells all
-    entries, had no processor time left: it coordinates too, and worked out
-    everything that is due after each message, some 900 times a second with 59
-    entries and 108 servers with keys. On a machine with 215% of a core it used
-    198% to 214%, while the other entries used 4% to 7%; its replies, its look
-    at the store and its grants all waited for that.
+    The hub is also a coordinator. When it computed everything that is due after
+    each message, some 900 times per second with 59 entries and 108 servers with
+    keys, its replies, reads of the store and grants were delayed. An entry then
+    sent a request to a server 2.6 s after the server had reported that it
+    leaves. The hub used 198% to 214% of a core on a machine with 215%.
     """
 
-    def test_a_hub_of_many_entries_works_out_what_is_due_at_its_own_pace(self):
+    def test_steps_are_limited_with_many_entries(self):
         model = edge_hub.HubModel(59, 108, 148)
         model.run(4.0)
         self.assertGreater(len(model.saved.ranges), 108)
@@ -45,7 +44,7 @@
         model.run(2.0)
         self.assertLess(model.owned.pace.steps - before, 2 * 60)
 
-    def test_a_line_tells_that_messages_wait(self):
+    def test_delayed_messages_are_logged_once(self):
         stream, time_ = io.StringIO(), clocks.ManualTime(10_000.0)
         forwarder = requests.Forwarder(time_.clock(), mock.Mock(),
                                        logs.make_logger('e1', stream), None)
@@ -62,12 +61,12 @@
 
 
 class SilentServersTest(unittest.TestCase):
-    """A sixth of the servers answers nothing, and stays listed.
+    """A sixth of the servers don't answer but stay registered.
 
-    Calls to them wait for their time limits and take the threads that the
-    others' calls need. With 18 of 108 servers silent, the others' grants came
-    up to 3.4 s apart, and last 3 s; keys of a server that leaves stayed with it
-    for 3.7 s, then for 10 s, then until the end, behind 829 releases.
+    Calls to them occupy threads until they time out, so calls to other servers
+    must not queue behind them. With 18 of 108 servers silent, grants of the
+    others, which last 3 s, were up to 3.4 s apart, and a leaving server kept
+    its keys for 3.7 s, for 10 s, or for good, behind 829 queued releases.
     """
 
     def setUp(self):
@@ -78,14 +77,14 @@
         self.model.silent.update(names[::6])
         self.others = [n for n in names if n not in self.model.silent]
 
-    def test_the_others_are_granted_their_keys_in_time(self):
+    def test_other_servers_get_grants_in_time(self):
         longest_ms = 0.0
         for _ in range(70):
             self.model.run(0.1)
             longest_ms = max(longest_ms, self.model.find_oldest_grant())
         self.assertLess(longest_ms, 1_500.0)
 
-    def test_a_server_that_leaves_hands_its_keys_over_within_a_second(self):
+    def test_leaving_server_releases_its_keys_within_a_second(self):
         self.model.run(6.0)
         for name in self.others[:4]:
             self.model.drain(name)
@@ -95,9 +94,9 @@
 
 class NewsAgeTest(unittest.TestCase):
 
-    def test_the_age_of_news_counts_from_the_question(self):
-        # A reply that was under way for 0.9 s was taken for as new as one that
-        # came at once, and with it what a request was sent by.
+    def test_age_of_news_counts_from_the_request(self):
+        # If the age counted from the arrival of the reply, data that was in
+        # transit for 0.9 s would be used for requests as if it were recent.
         time_ = clocks.ManualTime(50_000.0)
 
         class SlowCaller:
@@ -120,7 +119,7 @@
                                       mock.Mock(), mock.Mock())
         reporter.on_news = functools.partial(knowledge.take_news, follower)
         reporting.exchange_reports(reporter)
-        # What isn't taken in makes nothing newer.
+        # News that can't be applied doesn't make the copy more recent.
         self.assertEqual(requests.find_news_age(forwarder),
                          reports.UNKNOWN_AGE_MS)
         follower.seen = ports.Everything(None, {}, {}, {}, {}, 5)
@@ -128,12 +127,12 @@
         self.assertEqual(requests.find_news_age(forwarder), 1_000.0)
 
 
-class StuckPeersTest(unittest.TestCase):
-    """Some entries don't take the hub's replies, as their links are full.
+class SlowReadersTest(unittest.TestCase):
+    """Some entries don't read the hub's replies, as their links are saturated.
 
-    Each held the thread that answered it for 10 s, and the hub has few threads
-    for the others: the two that it had were held, and it answered no report for
-    10 s. An entry at size was seen to hear from nobody for 10.7 s.
+    Each of them blocked the thread that answered it for 10 s. With both of the
+    hub's threads blocked, it answered no report of other entries for 10 s, and
+    an entry received nothing from any other for 10.7 s.
     """
 
     def setUp(self):
@@ -154,24 +153,25 @@
         finally:
             connection.close()
 
-    def _open_stuck(self, revision: int) -> socket.socket:
-        """Sends a report and reads no reply."""
+    def _open_unread(self, revision: int) -> socket.socket:
+        """Sends a report without reading the reply."""
         report = reports.encode_report(
             reports.Report('e9', {}, {}, {}, revision))
-        peer = socket.socket()
-        self.addCleanup(peer.close)
-        peer.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
-        peer.connect(self.address)
-        peer.sendall(f'POST {reporting.PATH} HTTP/1.1\r\nHost: h\r\n'
-                     f'Content-Length: {len(report)}\r\n\r\n'.encode() + report)
-        return peer
-
-    def test_they_hold_up_no_other(self):
+        connection = socket.socket()
+        self.addCleanup(connection.close)
+        connection.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4_096)
+        connection.connect(self.address)
+        connection.sendall(f'POST {reporting.PATH} HTTP/1.1\r\nHost: h\r\n'
+                           f'Content-Length: {len(report)}\r\n\r\n'.encode() +
+                           report)
+        return connection
+
+    def test_other_reports_are_answered_in_time(self):
         store = self.deployment.store
-        known = revisions.combine(store.era, store.revision)
+        followed_revision = revisions.combine(store.era, store.revision)
         route = platformhelp.make_configuration()['Routes']['report']
-        # Large enough for buffers between processes of one machine, which take
-        # what a link between machines would not.
+        # The reply must exceed the socket buffers between processes of one
+        # machine, which hold more than a link between machines.
         store.put(
             'op/config',
             platformhelp.make_configuration(
@@ -182,12 +182,12 @@
                 }))
         platformhelp.wait_until(
             lambda: self.deployment.entries[0].call('/r7/x')[0] == 200, 5.0)
-        stuck = [self._open_stuck(known) for _ in range(8)]
-        # Composing a reply of 4.5 MB takes the processor; what is measured is
-        # the time after that, with all of them being written.
-        for peer in stuck:
-            self.assertTrue(select.select([peer], [], [], 5.0)[0])
-        # As long as an entry waits for its reply.
+        unread = [self._open_unread(followed_revision) for _ in range(8)]
+        # Encoding a reply of 4.5 MB uses much processor time. The measurement
+        # starts after that, when all of these replies are being written.
+        for connection in unread:
+            self.assertTrue(select.select([connection], [], [], 5.0)[0])
+        # The timeout after which an entry drops the reply to its report.
         bound_s = (reporting.TIMEOUT_INTERVALS * reporting.REPORT_INTERVAL_MS /
                    clocks.MS_PER_S)
         for _ in range(4):
