--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -36,20 +36,20 @@
 
 class KeyRangesTest(unittest.TestCase):
 
-    def test_every_key_has_one_owner_however_ranges_are_cut(self):
+    def test_every_key_has_one_owner_after_reassignment(self):
         ranges = keyranges.divide_evenly('abc', {'b': 2.0}, 1)
         self.assertEqual(edgeworlds.count_keys(ranges), tables.KEYS)
-        laid = keyranges.reassign(
+        reassigned = keyranges.reassign(
             ranges, [_range(100, 200, 'b', 2),
                      _range(60_000, 65_535, 'a', 3)])
-        self.assertEqual(edgeworlds.count_keys(laid), tables.KEYS)
-        for one, two in zip(laid, laid[1:], strict=False):
+        self.assertEqual(edgeworlds.count_keys(reassigned), tables.KEYS)
+        for one, two in zip(reassigned, reassigned[1:], strict=False):
             self.assertEqual(one.last + 1, two.first)
-        assignment = keyranges.Assignment('x', 1, 4, laid)
+        assignment = keyranges.Assignment('x', 1, 4, reassigned)
         self.assertEqual(keyranges.find_owner(assignment, 150).server, 'b')
         self.assertEqual(keyranges.find_owner(assignment, 65_535).server, 'a')
 
-    def test_neighbours_are_joined_under_a_fence_of_their_own(self):
+    def test_joined_neighbours_get_new_fences(self):
         ranges = [
             _range(0, 9, 'a', 1),
             _range(10, 19, 'a', 2),
@@ -62,7 +62,7 @@
             30, 39, 'b', 4), _range(40, 49, 'b', 7)))
         self.assertEqual(fence, 9)
 
-    def test_a_report_and_its_reply_survive_the_way(self):
+    def test_encoded_report_and_reply_decode_to_the_same(self):
         report = reports.Report('e1', {'x': [(7, 's1', 12.5)]}, {'s1': 2},
                                 {'x': 9},
                                 evidence=[_EVIDENCE],
@@ -71,8 +71,9 @@
                          report)
         assignment = keyranges.Assignment('x', 2, 9, (_range(0, 9, 'a'),),
                                           {'a': 3.0}, {'a': 'a:1'}, 'e1')
-        told = tables.Coordinated([(1, 2)], {'s1': 12.5})
-        reply = reports.ReportReply({'s1': 3}, {'x': assignment}, {'x': told},
+        coordinated = tables.Coordinated([(1, 2)], {'s1': 12.5})
+        reply = reports.ReportReply({'s1': 3}, {'x': assignment},
+                                    {'x': coordinated},
                                     evidence=[_EVIDENCE])
         found = reports.decode_report_reply(reports.encode_report_reply(reply))
         self.assertEqual(found, reply)
@@ -89,7 +90,7 @@
         self.assertEqual(
             hub.list_limits(table, 1_300.0 + hub.LIMIT_RETENTION_MS), {})
 
-    def test_what_is_no_report_is_refused(self):
+    def test_invalid_messages_decode_to_none(self):
         for data in (b'', b'[]', b'{"entry": 1}', b'\xff'):
             self.assertIsNone(reports.decode_report(data))
             self.assertIsNone(reports.decode_report_reply(data))
@@ -97,9 +98,10 @@
 
 class LoadsTest(unittest.TestCase):
 
-    def test_refused_requests_move_keys_of_a_server_at_its_limit(self):
-        # A full server answers at its limit: what it served alone looked like
-        # its share, and its hot keys stayed.
+    def test_refused_requests_move_keys_off_server_at_its_limit(self):
+        # A saturated server serves requests at its limit. If only served
+        # requests counted, it would seem to have its share of the load and would
+        # keep its hot keys.
         table = loads.LoadTable()
         servers = [
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
@@ -119,7 +121,7 @@
         self.assertEqual({item.source for item in moved}, {'a'})
         self.assertEqual(table.works['a'].ms, 60.0)
 
-    def test_a_successor_begins_with_what_was_learned(self):
+    def test_successor_starts_with_recorded_times_of_work(self):
         table = loads.LoadTable()
         table.seed_works({'a': 50.0, 'b': 100.0})
         servers = [
@@ -193,7 +195,7 @@
         expired_at = now + loads.REFUSAL_RETENTION_MS + 1.0
         self.assertEqual(table.capacities(servers, expired_at)['a'], 1.0)
 
-    def test_scraps_are_joined_when_there_are_many(self):
+    def test_small_ranges_are_joined_when_there_are_many(self):
         ranges = []
         for number in range(40):
             ranges.append(
@@ -210,7 +212,7 @@
 
 
 class WorkMeanTest(unittest.TestCase):
-    """Times of work vary as much as their mean."""
+    """Tests means of times of work that vary as much as their mean."""
 
     def setUp(self):
         super().setUp()
@@ -222,19 +224,19 @@
         for _ in range(count):
             workmeans.add(self.mean, ms * self.draw.lognormvariate(-0.32, 0.8))
 
-    def test_chance_does_not_make_a_server_slow(self):
+    def test_variance_does_not_make_a_server_slow(self):
         for _ in range(200):
             self._add(100.0, 10)
             self.assertLess(self.mean.ms, 160.0)
             self.assertGreater(self.mean.ms, 60.0)
 
-    def test_a_server_that_turns_slow_is_told_after_a_few_answers(self):
+    def test_slowdown_is_detected_after_a_few_answers(self):
         self._add(500.0, 20)
         self.assertGreater(self.mean.ms, 300.0)
         self._add(100.0, 150)
         self.assertLess(self.mean.ms, 180.0)
 
-    def test_keys_leave_a_server_that_answers_nothing_in_time(self):
+    def test_keys_move_off_server_that_misses_deadlines(self):
         table = loads.LoadTable()
         servers = [
             tables.Server(name, 'x', '', '', 2, False, 0.0, 0.0)
@@ -243,7 +245,7 @@
         ranges = keyranges.divide_evenly('abcd', {}, 1)
         assignment = keyranges.Assignment('x', 1, 1, ranges)
 
-        def report(slow_ms: float, now: float) -> None:
+        def add_requests(slow_ms: float, now: float) -> None:
             rows = []
             for key in range(0, tables.KEYS, 1_200):
                 server = keyranges.find_owner(assignment, key).server
@@ -252,16 +254,16 @@
             table.add(rows, now)
 
         for second in range(4):
-            report(220.0, second * 1_000.0)
+            add_requests(220.0, second * 1_000.0)
         self.assertEqual(table.plan_transfers(ranges, servers, 4_000.0), [])
-        report(1_400.0, 5_000.0)
+        add_requests(1_400.0, 5_000.0)
         moved = table.plan_transfers(ranges, servers, 5_600.0)
         self.assertIn('a', {item.source for item in moved})
 
 
 class HubTest(unittest.TestCase):
 
-    def test_requests_under_way_add_up_over_entries(self):
+    def test_requests_in_flight_add_up_over_entries(self):
         table = hub.HubTable()
         hub.record_inflight(table, 'e1', {'a': 2}, 0.0)
         hub.record_inflight(table, 'e2', {'a': 3, 'b': 1}, 0.0)
@@ -289,7 +291,7 @@
 
 
 class ReportingTest(unittest.TestCase):
-    """An entry that two services' coordinators tell what they decide."""
+    """An entry exchanges reports with the coordinators of two services."""
 
     def setUp(self):
         super().setUp()
@@ -328,14 +330,14 @@
         self.sent: list[tuple[str, reports.Report]] = []
 
     def call(self, address, request, unused_timeout_ms):
-        """Stands in for a caller of other entries."""
+        """Replaces `httpcalls.Caller.call`."""
         self.sent.append((address, reports.decode_report(request.body)))
         if address not in self.replies:
             return outcomes.Failed(outcomes.Reason.CONNECT_FAILED, 'down')
         data = reports.encode_report_reply(self.replies[address])
         return httpcalls.Reply(200, {}, data)
 
-    def test_what_each_tells_of_its_service_stands_beside_the_other(self):
+    def test_replies_of_two_coordinators_are_combined(self):
         reporting.exchange_reports(self.reporter)
         self.assertEqual(self.forwarder.unserved, {
             'x': [(1, 2)],
@@ -344,13 +346,13 @@
         self.assertEqual(self.forwarder.states['s1'].shared_ms, 30.0)
         self.assertEqual(self.forwarder.states['s2'].shared_ms, 70.0)
 
-    def test_what_a_lost_one_told_of_its_service_is_forgotten(self):
+    def test_state_from_failed_coordinator_is_dropped(self):
         reporting.exchange_reports(self.reporter)
         del self.replies['a:1']
         reporting.exchange_reports(self.reporter)
         self.assertEqual(self.forwarder.unserved, {'y': [(7, 9)]})
 
-    def test_what_a_lost_one_told_to_be_blocked_stays_blocked(self):
+    def test_requests_blocked_by_failed_coordinator_stay_blocked(self):
         reporting.exchange_reports(self.reporter)
         del self.replies['a:1']
         for _ in range(2):
@@ -359,7 +361,7 @@
                 quarantine.list_blocked(self.forwarder.suspects, 0.0).keys(),
                 {_EVIDENCE.fingerprint})
 
-    def test_evidence_is_told_again_until_it_has_arrived(self):
+    def test_evidence_is_sent_until_it_is_confirmed(self):
         quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
         replies, self.replies = self.replies, {}
         reporting.exchange_reports(self.reporter)
@@ -367,14 +369,14 @@
         self.sent.clear()
         for _ in range(3):
             reporting.exchange_reports(self.reporter)
-        told = [[item.server
-                 for item in report.evidence]
-                for address, report in self.sent
-                if address == 'a:2']
-        self.assertIn('s9', told[0])
-        self.assertEqual(told[-1], [])
-
-    def test_another_process_at_the_address_of_the_hub_is_told_everything(self):
+        sent_evidence = [[item.server
+                          for item in report.evidence]
+                         for address, report in self.sent
+                         if address == 'a:2']
+        self.assertIn('s9', sent_evidence[0])
+        self.assertEqual(sent_evidence[-1], [])
+
+    def test_new_process_at_hub_address_receives_all_evidence(self):
         quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
         reporting.exchange_reports(self.reporter)
         self.replies['a:2'] = reports.ReportReply({}, {}, {}, hub='other')
@@ -386,13 +388,13 @@
         self.forwarder.snapshot = tables.Snapshot(None, {}, {}, peers, {})
         self.sent.clear()
         reporting.exchange_reports(self.reporter)
-        told = {
+        sent_evidence = {
             item.server for address, report in self.sent if address == 'a:2'
             for item in report.evidence
         }
-        self.assertLessEqual({'s8', 's9'}, told)
+        self.assertLessEqual({'s8', 's9'}, sent_evidence)
 
-    def test_evidence_goes_to_others_where_no_hub_answers(self):
+    def test_evidence_is_sent_to_other_entry_when_no_hub_answers(self):
         quarantine.report_end(self.forwarder.suspects, 'x', 's9', 0.0)
         self.replies = {'a:3': reports.ReportReply({}, {}, {}, hub='e3')}
         self.forwarder.snapshot = tables.Snapshot(
@@ -403,7 +405,7 @@
         self.assertEqual(address, 'a:3')
         self.assertEqual([item.server for item in report.evidence], ['s9'])
 
-    def test_an_entry_tells_only_of_services_that_it_coordinates(self):
+    def test_reply_contains_only_coordinated_services(self):
         reporting.exchange_reports(self.reporter)
         report = reports.Report('e3', {}, {}, {})
         found = reporting.handle_report(self.reporter, report)
@@ -411,54 +413,55 @@
         self.assertEqual(found.changes, b'news')
 
 
-class _StuckStream(io.StringIO):
-    """A stream that nobody reads."""
+class _BlockedStream(io.StringIO):
+    """A stream on which writes block until `unblocked` is set."""
 
     def __init__(self):
         super().__init__()
-        self.go = threading.Event()
+        self.unblocked = threading.Event()
 
     def write(self, text: str) -> int:
-        self.go.wait()
+        self.unblocked.wait()
         return super().write(text)
 
 
-class _ShortWrites(io.RawIOBase):
-    """A descriptor that takes a part of what is written, as a pipe may."""
+class _PartialWrites(io.RawIOBase):
+    """A descriptor that accepts only part of each write, as a pipe may."""
 
     def __init__(self):
         super().__init__()
-        self.taken = b''
+        self.written = b''
 
     def writable(self) -> bool:
         return True
 
     def write(self, data) -> int:
         part = bytes(data[:1_000])
-        self.taken += part
+        self.written += part
         return len(part)
 
 
-class _CutWrites(io.RawIOBase):
-    """A descriptor whose reader keeps no more than 8 KB of each write."""
+class _TruncatedWrites(io.RawIOBase):
+    """A descriptor whose reader keeps only the first 8 KB of each write."""
 
     def __init__(self):
         super().__init__()
-        self.taken = b''
+        self.written = b''
 
     def writable(self) -> bool:
         return True
 
     def write(self, data) -> int:
-        self.taken += bytes(data[:8_192])
+        self.written += bytes(data[:8_192])
         return len(data)
 
 
 class LineQueueTest(unittest.TestCase):
 
-    def test_a_reader_of_short_writes_gets_all_lines(self):
-        # The lines after the first 34 of one instant were missing.
-        raw = _CutWrites()
+    def test_lines_are_complete_when_reader_truncates_large_writes(self):
+        # Of the lines written at the same time, those after the first 34 were
+        # lost.
+        raw = _TruncatedWrites()
         stream = io.TextIOWrapper(io.BufferedWriter(raw), encoding='utf-8')
         lines = linequeue.LineQueue(stream, clocks.ManualTime().clock())
         expected = [f'{number:0240}\n' for number in range(200)]
@@ -466,21 +469,22 @@
         for line in expected:
             lines.write(line)
         lines.close()
-        self.assertEqual(raw.taken.decode(), ''.join(expected))
+        self.assertEqual(raw.written.decode(), ''.join(expected))
 
-    def test_lines_that_are_written_together_all_arrive(self):
-        # An unbuffered stream hands on the first part, and tells of no rest.
-        raw = _ShortWrites()
+    def test_lines_are_complete_after_partial_writes(self):
+        # An unbuffered stream writes only the first part and does not report
+        # the remainder.
+        raw = _PartialWrites()
         stream = io.TextIOWrapper(raw, encoding='utf-8', write_through=True)
         lines = linequeue.LineQueue(stream, clocks.ManualTime().clock())
         expected = [f'{number:0250}\n' for number in range(200)]
         for line in expected:
             lines.write(line)
         lines.close()
-        self.assertEqual(raw.taken.decode(), ''.join(expected))
+        self.assertEqual(raw.written.decode(), ''.join(expected))
 
-    def test_a_reader_that_is_stuck_costs_lines_and_no_time(self):
-        stream = _StuckStream()
+    def test_blocked_reader_loses_lines_without_delaying_writers(self):
+        stream = _BlockedStream()
         time_ = clocks.ManualTime()
         lines = linequeue.LineQueue(stream, time_.clock())
         began = time.monotonic()
@@ -488,12 +492,12 @@
             lines.write(f'{number}\n')
             time_.advance(5.0)
         self.assertLess(time.monotonic() - began, 2.0)
-        stream.go.set()
+        stream.unblocked.set()
         lines.write('last\n')
         lines.close()
         self.assertIn('lines_left_out', stream.getvalue())
 
-    def test_a_flood_is_cut_and_counted(self):
+    def test_excess_lines_are_dropped_and_counted(self):
         stream = io.StringIO()
         time_ = clocks.ManualTime()
         lines = linequeue.LineQueue(stream, time_.clock())
@@ -504,7 +508,7 @@
         lines.close()
         text = stream.getvalue()
         self.assertEqual(text.count('x\n'), linequeue.LINES_PER_S)
-        # The writing thread may tell of them in several lines.
+        # The writing thread may report the count in several lines.
         counts = [
             json.loads(line)['count']
             for line in text.splitlines()
@@ -515,7 +519,7 @@
 
 class MeasuresTest(unittest.TestCase):
 
-    def test_counts_and_times_are_shown(self):
+    def test_metrics_contain_counts_and_times(self):
         found = measures.Measures(clocks.Clock())
         found.note('answered', '200', 12.0)
         found.note('not-run', 'overloaded', 0.0)
