--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -1,4 +1,4 @@
-"""How changes spread from the hub over relays to all entries."""
+"""Tests of how changes spread from the hub through relays to all entries."""
 
 import functools
 import threading
@@ -28,7 +28,7 @@
 
 
 def _make_fleet(domains: int, per_domain: int) -> dict[str, ports.Peer]:
-    """Returns entries, three of each failure domain on large machines."""
+    """Returns entries by id; three of each domain are on large machines."""
     peers = [
         ports.Peer(f'e-{domain}-{number}.1', f'10.0.{domain}.{number + 1}:1',
                    number >= 3, f'd{domain}')
@@ -46,11 +46,11 @@
             for peer in fleet.values()
         }
 
-    def test_a_small_fleet_is_told_by_the_hub_itself(self):
+    def test_no_relays_in_a_small_fleet(self):
         self.assertEqual(set(self._place_all(_make_fleet(3, 10)).values()),
                          {None})
 
-    def test_nobody_tells_many_and_all_are_told_in_a_few_steps(self):
+    def test_fanout_and_depth_of_the_tree_are_limited(self):
         for domains, per_domain, most_steps in ((5, 39, 2), (15, 327, 3)):
             with self.subTest(domains * per_domain):
                 fleet = _make_fleet(domains, per_domain)
@@ -59,51 +59,52 @@
                     for peer in fleet.values()
                     if peer.domain in ('d0', 'd7')
                 }
-                told: dict[str, int] = {}
+                child_counts: dict[str, int] = {}
                 for address, place in sample.items():
                     if place is None:
                         self.assertEqual(address, _HUB)
                         continue
-                    told[place.parents[0]] = told.get(place.parents[0], 0) + 1
+                    child_counts[place.parents[0]] = child_counts.get(
+                        place.parents[0], 0) + 1
                     self.assertNotIn(address, place.parents)
                     steps, parent = 1, place.parents[0]
                     while parent != _HUB:
                         steps, parent = steps + 1, sample[parent].parents[0]
                     self.assertLessEqual(steps, most_steps)
                     self.assertEqual(place.relay, steps == 1)
-                self.assertLessEqual(told.pop(_HUB),
+                self.assertLessEqual(child_counts.pop(_HUB),
                                      domains * relays.DOMAIN_RELAYS)
-                self.assertLessEqual(max(told.values()), relays.FANOUT)
+                self.assertLessEqual(max(child_counts.values()), relays.FANOUT)
 
-    def test_large_machines_are_relays_of_their_own_failure_domain(self):
+    def test_relays_are_on_large_machines_of_the_same_domain(self):
         fleet = _make_fleet(5, 39)
         by_address = {peer.address: peer for peer in fleet.values()}
         for address, place in self._place_all(fleet).items():
             if place is None or place.relay:
                 continue
             parent = by_address[place.parents[0]]
-            if parent.domain != 'd0':  # One of its large ones is the hub.
+            if parent.domain != 'd0':  # One of its large machines has the hub.
                 self.assertFalse(parent.small)
             self.assertEqual(parent.domain, by_address[address].domain)
 
-    def test_an_entry_that_started_again_moves_nobody(self):
+    def test_restarted_entry_changes_no_other_place(self):
         fleet = _make_fleet(5, 39)
         before = self._place_all(fleet)
         again = ports.Peer('e-1-20.2', '10.0.1.21:1', True, 'd1')
         self.assertEqual(self._place_all(fleet | {again.instance: again}),
                          before)
 
-    def test_those_of_a_lost_relay_are_shared_out(self):
+    def test_children_of_a_failed_relay_are_distributed(self):
         fleet = _make_fleet(5, 39)
         lost = '10.0.1.1:1'
-        seconds = [
+        second_parents = [
             place.parents[1]
             for place in self._place_all(fleet).values()
             if place and not place.relay and place.parents[0] == lost
         ]
-        self.assertEqual(len(set(seconds)), 2)
+        self.assertEqual(len(set(second_parents)), 2)
 
-    def test_who_is_avoided_is_asked_last(self):
+    def test_avoided_parents_are_chosen_last(self):
         place = relays.Place(False, ('a', 'b', 'c'))
         self.assertEqual(subscriptions.choose_parent(place, {}, 100.0), 'a')
         self.assertEqual(
@@ -119,22 +120,22 @@
 
 
 class _Peers:
-    """Calls between entries in one process."""
+    """Carries calls between entries in one process."""
 
     def __init__(self):
-        self.pages = {}
-        self.lost: set[str] = set()
+        self.handlers = {}
+        self.failed: set[str] = set()
 
     def call(self, address, request, unused_timeout_ms, unused_connect_ms=None):
         """Makes a call, as `httpcalls.Caller` does."""
-        if address in self.lost:
+        if address in self.failed:
             return outcomes.Failed(outcomes.Reason.CONNECT_FAILED, address)
-        status, body = self.pages[address, request.target](request.body)
+        status, body = self.handlers[address, request.target](request.body)
         return httpcalls.Reply(status, {}, body)
 
 
 class NewsTest(unittest.TestCase):
-    """Changes go from the hub to a relay, and from there to an entry."""
+    """Changes spread from the hub to a relay and from there to an entry."""
 
     def setUp(self):
         super().setUp()
@@ -163,8 +164,9 @@
         follower = knowledge.Follower(ports.Peer(name, name + ':1'), reporter,
                                       connected, clock, logger, mock.Mock(),
                                       mock.Mock())
-        self.peers.pages[name + ':1', subscriptions.PATH] = functools.partial(
-            self._answer, follower)
+        self.peers.handlers[name + ':1',
+                            subscriptions.PATH] = functools.partial(
+                                self._answer, follower)
         return follower
 
     def _answer(self, follower, body):
@@ -172,8 +174,8 @@
             follower, reports.decode_news_request(body))
         return (200, reports.encode_news(reply)) if reply else (503, b'')
 
-    def _listen(self, follower, *parents):
-        """Has an entry ask others for news until the test ends."""
+    def _request_news(self, follower, *parents):
+        """Makes an entry request news from parents until the test ends."""
         follower.place = relays.Place(False, parents)
         avoided: dict[str, float] = {}
 
@@ -188,8 +190,8 @@
         self.addCleanup(thread.join)
         self.addCleanup(self.ended.set)
 
-    def _change(self, version):
-        """Changes the configuration; the hub learns of it by its watch."""
+    def _change_configuration(self, version):
+        """Changes the configuration; the hub receives it by a watch."""
         self.standin.put('op/config', platformhelp.make_configuration(version))
         found = self.hub.store.watch(self.hub.seen)
         knowledge.take(self.hub, found, False)
@@ -204,44 +206,44 @@
         platformhelp.wait_until(
             lambda: follower.seen.configuration.version == version, seconds)
 
-    def test_a_change_reaches_all_at_once_and_costs_the_store_nothing(self):
-        self._listen(self.relay, 'e0:1')
-        self._listen(self.entry, 'e1:1')
+    def test_change_spreads_immediately_without_store_calls(self):
+        self._request_news(self.relay, 'e0:1')
+        self._request_news(self.entry, 'e1:1')
         time.sleep(0.6)
         for version in (4, 5):
             calls = self.standin.calls
-            self._change(version)
+            self._change_configuration(version)
             began = time.monotonic()
             self._await_version(self.entry, version, 2.0)
-            # Its time at the relay and the hub is over each 250 ms; a change
-            # isn't held until then.
+            # Requests at the relay and the hub time out after 250 ms each; a
+            # change must not be delayed until then.
             self.assertLess(time.monotonic() - began, 0.2)
             self.assertEqual(self.standin.calls, calls + 1)
 
-    def test_ages_add_up_on_the_way(self):
+    def test_ages_add_up_along_the_tree(self):
         self._note_known(self.hub, 900.0)
-        self._listen(self.relay, 'e0:1')
-        self._listen(self.entry, 'e1:1')
+        self._request_news(self.relay, 'e0:1')
+        self._request_news(self.entry, 'e1:1')
         time.sleep(0.8)
         age_ms = requests.find_news_age(self.entry.reporter.forwarder)
         self.assertGreaterEqual(age_ms, 1_600.0)
         self.assertLess(age_ms, 3_500.0)
 
-    def test_another_tells_when_the_relay_is_lost(self):
-        self._listen(self.relay, 'e0:1')
-        self._listen(self.entry, 'e1:1', 'e0:1')
+    def test_another_entry_is_asked_when_the_relay_fails(self):
+        self._request_news(self.relay, 'e0:1')
+        self._request_news(self.entry, 'e1:1', 'e0:1')
         time.sleep(0.4)
-        self.peers.lost.add('e1:1')
-        self._change(4)
+        self.peers.failed.add('e1:1')
+        self._change_configuration(4)
         self._await_version(self.entry, 4, 2.0)
 
-    def test_another_is_asked_when_what_the_relay_knows_is_old(self):
-        # The relay answers and hears from nobody.
-        self._listen(self.entry, 'e1:1', 'e0:1')
-        self._change(4)
+    def test_another_entry_is_asked_when_the_relay_is_stale(self):
+        # The relay answers but receives no news itself.
+        self._request_news(self.entry, 'e1:1', 'e0:1')
+        self._change_configuration(4)
         self._await_version(self.entry, 4, 2.0)
 
-    def test_more_than_a_few_that_wait_are_answered_at_once(self):
+    def test_requests_beyond_the_limit_are_answered_immediately(self):
         for _ in range(knowledge.MOST_HELD):
             self.hub.held.acquire()
         asked = reports.NewsRequest('e9', self.hub.seen.revision)
@@ -250,20 +252,20 @@
         self.assertLess(time.monotonic() - began, 0.1)
         self.assertEqual(reply.changes, b'')
 
-    def test_who_knows_nothing_says_so(self):
+    def test_entry_without_a_copy_responds_with_503(self):
         self.hub.seen = None
         self.assertEqual(
             self._answer(self.hub,
                          reports.encode_news(reports.NewsRequest('e9', 0)))[0],
             503)
 
-    def test_what_is_no_request_is_refused(self):
+    def test_invalid_messages_decode_to_none(self):
         self.assertIsNone(reports.decode_news_request(b'{"entry": 5}'))
         self.assertIsNone(reports.decode_news_reply(b'{"revision": "x"}'))
 
 
-class LookTest(unittest.TestCase):
-    """Entries that relays tell leave the store alone."""
+class ReadIntervalTest(unittest.TestCase):
+    """Leaves don't read the store while relays send them recent news."""
 
     def setUp(self):
         super().setUp()
@@ -273,60 +275,66 @@
                                        None)
         reporter = reporting.Reporter('e9', forwarder, mock.Mock(), None)
         lost = outcomes.Failed(outcomes.Reason.TIMED_OUT)
-        away = mock.Mock(**{'load.return_value': lost})
-        self.follower = knowledge.Follower(ports.Peer('e9', 'a:9'),
-                                           reporter, away, clock, mock.Mock(),
+        unavailable = mock.Mock(**{'load.return_value': lost})
+        self.follower = knowledge.Follower(ports.Peer('e9', 'a:9'), reporter,
+                                           unavailable, clock, mock.Mock(),
                                            mock.Mock(), mock.Mock())
         self.forwarder = forwarder
 
-    def _find_pause(self, relay, heard_ms, told_ms=0.0):
+    def _find_read_interval(self, relay, news_age_ms, reply_age_ms=0.0):
         now = self.time.at
         self.follower.place = relays.Place(relay, ('b:1',))
-        self.follower.told_at = now - told_ms
-        self.forwarder.heard = tables.News(1, now - heard_ms)
+        self.follower.told_at = now - reply_age_ms
+        self.forwarder.heard = tables.News(1, now - news_age_ms)
         self.forwarder.freshness = staleness.Freshness(
-            staleness.Times(now - heard_ms, now - heard_ms))
+            staleness.Times(now - news_age_ms, now - news_age_ms))
         return following.find_read_interval(self.follower)
 
-    def test_nobody_looks_who_is_told(self):
+    def test_informed_entries_do_not_read_the_store(self):
         for relay in (False, True):
-            self.assertEqual(self._find_pause(relay, 900.0),
+            self.assertEqual(self._find_read_interval(relay, 900.0),
                              following.NO_READ_MS)
 
-    def test_relays_look_when_the_hub_knows_nothing_new(self):
-        self.assertEqual(self._find_pause(True, 1_300.0),
+    def test_relays_read_the_store_when_the_hub_is_stale(self):
+        self.assertEqual(self._find_read_interval(True, 1_300.0),
                          self.forwarder.limits.lead_pause_ms)
 
-    def test_the_others_leave_that_to_the_relays(self):
-        # 195 entries that looked for themselves while the hub couldn't reach
-        # the store made 15 calls each.
-        self.assertEqual(self._find_pause(False, 1_200.0), following.NO_READ_MS)
+    def test_few_leaves_read_the_store(self):
+        # When all 195 entries read the store themselves while the hub couldn't
+        # reach it, each made 15 calls.
+        self.assertEqual(self._find_read_interval(False, 1_200.0),
+                         following.NO_READ_MS)
         self.forwarder.snapshot = mock.Mock(entries=dict.fromkeys(
             range(195), ports.Peer('e1', 'a:1')),
                                             coordinators={})
-        looks = [self._find_pause(False, 9_000.0) for _ in range(10_000)]
-        # Each asks itself 20 times a second.
-        self.assertTrue(20 < looks.count(0.0) < 100)
+        intervals = [
+            self._find_read_interval(False, 9_000.0) for _ in range(10_000)
+        ]
+        # Each leaf checks 20 times per second whether to read.
+        self.assertTrue(20 < intervals.count(0.0) < 100)
 
-    def test_an_entry_that_is_told_nothing_recent_looks_though_relays_answer(
-            self):
-        self.assertEqual(self._find_pause(False, 1_301.0), 0.0)
+    def test_leaf_with_stale_news_reads_although_relays_answer(self):
+        self.assertEqual(self._find_read_interval(False, 1_301.0), 0.0)
 
-    def test_an_old_store_that_answers_again_is_left_to_the_relays(self):
-        self._find_pause(False, 9_000.0)
+    def test_leaves_do_not_restart_after_an_outage_while_relays_answer(self):
+        self._find_read_interval(False, 9_000.0)
         self.follower.begun = 1
         following.restart_following(self.follower)
         following.restart_if_silent(self.follower)
         self.assertEqual(self.follower.begun, 1)
-        self._find_pause(False, 9_000.0, 9_000.0)
+        self._find_read_interval(False, 9_000.0, 9_000.0)
         self.forwarder.platform = mock.Mock(**{'settings.seeds': ()})
         following.restart_following(self.follower)
         self.assertEqual(self.follower.begun, 2)
         self.follower.begun = 3
 
-    def _answer_again(self, what, heard_ms):
-        """The store answers again while a call of a leaf to it is under way."""
-        self._find_pause(False, heard_ms)
+    def _end_outage(self, what, news_age_ms):
+        """Ends an outage of the store while a leaf's call is in flight.
+
+        Returns:
+          The generation of the thread that follows the store then.
+        """
+        self._find_read_interval(False, news_age_ms)
         self.forwarder.platform = mock.Mock(**{'settings.seeds': ()})
         self.follower.begun = 1
         self.follower.doing = (what, self.time.at - 1_000.0)
@@ -334,21 +342,23 @@
         self.addCleanup(setattr, self.follower, 'begun', 9)
         return self.follower.begun
 
-    def test_who_waits_for_a_call_of_the_silent_store_looks_again(self):
-        # It waited up to 3.3 s more, as a relay that knew nothing had spoken.
-        self.assertEqual(self._answer_again('watch', 9_000.0), 2)
+    def test_leaf_with_a_hung_watch_reads_again(self):
+        # If the reply of a relay without recent news counted, the leaf would
+        # wait up to another 3.3 s for the hung watch.
+        self.assertEqual(self._end_outage('watch', 9_000.0), 2)
         platformhelp.wait_until(lambda: self.follower.store.load.called, 3.0)
 
-    def test_who_is_told_leaves_such_a_call_and_waits(self):
-        # Its thread couldn't look when nobody told it any more.
+    def test_informed_leaf_abandons_a_hung_watch_and_waits(self):
+        # Otherwise its thread couldn't read the store once news stopped.
         self.follower.seen = ports.Everything(None, {}, {}, {}, {}, 1)
-        self.assertEqual(self._answer_again('watch', 100.0), 2)
+        self.assertEqual(self._end_outage('watch', 100.0), 2)
         platformhelp.wait_until(lambda: self.follower.doing[0] == 'wait', 3.0)
         self.assertFalse(self.follower.store.watch.called)
         self.assertFalse(self.follower.store.load.called)
 
-    def test_a_call_that_was_left_is_told_as_what_it_was(self):
-        # Lines said that a wait had timed out.
+    def test_abandoned_call_is_logged_with_its_own_activity(self):
+        # The activity of the newer thread was logged instead: a wait that had
+        # timed out.
         ended = threading.Event()
 
         def hang():
@@ -370,16 +380,17 @@
         _, fields = self.follower.logger.info.call_args
         self.assertEqual((fields['what'], fields['took_ms']), ('load', 3_300))
 
-    def test_a_long_read_goes_on_while_somebody_tells(self):
-        # Over a slow link it takes longer than the calls that seem lost.
+    def test_long_read_continues_while_news_arrive(self):
+        # Over a slow link a read takes longer than the time after which a watch
+        # counts as hung.
         for what in ('load', 'configuration'):
-            self.assertEqual(self._answer_again(what, 100.0), 1)
+            self.assertEqual(self._end_outage(what, 100.0), 1)
 
 
 class HungWatchTest(unittest.TestCase):
-    """The store is silent for a while, and a watch of an entry hangs."""
+    """A watch hangs because the store didn't answer for a while."""
 
-    def test_the_configuration_is_known_soon_after_its_return(self):
+    def test_new_configuration_is_applied_soon_after_the_outage(self):
         standin = platform_store.PlatformStore()
         self.addCleanup(standin.close)
         standin.put('op/config', platformhelp.make_configuration(4))
@@ -399,7 +410,7 @@
         standin.faults.away = 'silent'
         follower.hurried.set()
         platformhelp.wait_until(lambda: follower.doing[0] == 'watch', 3.0)
-        # What is known grows old; its relay answers, and knows no more.
+        # The copy becomes stale; the entry's relay answers without newer data.
         time.sleep(1.3)
         platformhelp.wait_until(
             lambda: follower.doing[0] == 'watch' and clock.now() - follower.
@@ -421,8 +432,9 @@
         cls.deployment = platformhelp.Deployment(catalogs=1, orders=1)
         cls.addClassCleanup(cls.deployment.close)
 
-    def test_it_learns_from_a_larger_one_and_spares_the_store(self):
-        # All of 195 read the store in 19 calls each, after all lost power.
+    def test_state_is_fetched_from_an_entry_on_a_larger_machine(self):
+        # After a power failure, 195 entries otherwise read the store at the
+        # same time with 19 calls each.
         before = self.deployment.store.paths.copy()
         entry = self.deployment.add_entry(link_mbps=10.0)
         entry.await_ready()
@@ -433,7 +445,7 @@
         status, _, _ = entry.call('/stock/1', key=7)
         self.assertEqual(status, 200)
 
-    def test_alone_it_reads_the_store(self):
+    def test_single_entry_reads_the_store(self):
         deployment = platformhelp.Deployment(catalogs=1,
                                              orders=1,
                                              link_mbps=10.0)
