--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -195,7 +195,7 @@
 def _update_hubs(reporter: Reporter, peers: dict[ports.Peer, set[str]]) -> None:
     """Updates state that depends on the current hubs.
 
-    Only the first hub tries suspected requests.
+    Only the first hub retries blocked requests.
     """
     first = next(iter(peers), None)
     reporter.forwarder.tries_suspects = (first is not None and
