--- a/lentilmoor/crashes.py
+++ b/lentilmoor/crashes.py
@@ -1,17 +1,18 @@
-"""Crashes: what is held against one fingerprint, and what follows from it.
+"""Crashes attributed to one fingerprint, and the block that they cause.
 
-All rules here depend only on when crashes, clean runs and releases were, so
-entries that know the same of a request judge it alike.
+All decisions depend only on the times of crashes, clean runs and releases, so
+entries with the same observations of a request reach the same decision.
 """
 
 from collections.abc import Iterable
 import dataclasses
 import math
 
-# Reports of one crash by several entries lie closer together than this.
+# Reports by several entries within this time are reports of the same crash.
 DUPLICATE_WINDOW_MS = 1_000.0
-# A first block lasts this long; each further crash doubles the next.
+# Duration of the first block; each further crash doubles it.
 BLOCK_MS = 600_000.0
+# Maximum number of crashes kept per fingerprint; the newest are kept.
 MAX_CRASHES = 8
 
 
@@ -35,11 +36,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """The end of a server's process.
+    """A crash of a server while a request was in flight on it.
 
     Attributes:
       server: Server id.
-      at: When, ms.
+      at: Time of the crash, ms.
     """
 
     server: str
@@ -48,16 +49,17 @@
 
 @dataclasses.dataclass(slots=True)
 class Suspect:
-    """What is known of one fingerprint.
+    """The observations of the requests with one fingerprint.
 
     Attributes:
       service: 'team/service'.
-      crashes: Crashes it was in flight at, since it last ran well.
+      crashes: Crashes of servers that it was in flight on since its last clean
+        run, sorted by time.
       clean_run_at: When its last clean run ended, ms; -inf if never.
-      released_at: When an operator released it, ms; -inf if never.
-      blocked_until: End of its block, ms; 0 if it was not blocked.
+      released_at: When an operator last released it, ms; -inf if never.
+      blocked_until: End of its block, ms; 0 if it has not been blocked.
       policy: When it is blocked.
-      version: Of the quarantine when this last changed.
+      version: Version of the quarantine at the last change of this suspect.
     """
 
     service: str
@@ -70,7 +72,7 @@
 
 
 def is_expired(suspect: Suspect, now: float) -> bool:
-    """Returns whether nothing said of a suspect matters any more."""
+    """Returns whether the observations of a suspect are too old to matter."""
     newest = max(suspect.clean_run_at,
                  suspect.released_at, suspect.blocked_until,
                  *(crash.at for crash in suspect.crashes))
@@ -78,7 +80,7 @@
 
 
 def set_crashes(suspect: Suspect, crashes: list[Crash]) -> None:
-    """Sets the crashes, in order, and the block that follows from them."""
+    """Sets the crashes, sorted by time, and the block that they cause."""
     suspect.crashes = crashes
     surplus = _count_independent(crashes,
                                  suspect.policy) - suspect.policy.threshold
@@ -97,23 +99,24 @@
 
 
 def is_duplicate(one: Crash, other: Crash, policy: BlockPolicy) -> bool:
-    """Returns whether two reports are of one crash."""
+    """Returns whether two reports describe the same crash."""
     return (one.server == other.server and
             abs(one.at - other.at) < policy.duplicate_window_ms)
 
 
 def apply_clean_run(suspect: Suspect, at: float) -> None:
-    """Drops the crashes before a clean run."""
+    """Records a clean run and removes the crashes before it."""
     suspect.clean_run_at = max(suspect.clean_run_at, at)
     kept = [crash for crash in suspect.crashes if crash.at > at]
     set_crashes(suspect, kept)
 
 
 def merge_clean_run(suspect: Suspect, at: float) -> bool:
-    """Takes in a peer's clean run; returns whether it tells anything new.
+    """Merges a peer's clean run; returns whether it changes anything.
 
-    An item's age grows a little with each hop; were every echo taken in, the
-    time of one clean run would creep forward for ever.
+    The transmission time is missing from the age of an item, so each hop moves
+    the computed time of the run forward. If repeated reports of the same run
+    were merged, that time would advance forever.
     """
     if (at < suspect.clean_run_at + DUPLICATE_WINDOW_MS and
             all(crash.at > at for crash in suspect.crashes)):
@@ -123,9 +126,13 @@
 
 
 def apply_release(suspect: Suspect, at: float) -> bool:
-    """Drops the crashes before an operator's release, unless it is known."""
+    """Records an operator's release and removes the crashes before it.
+
+    Returns:
+      False if the release was already known.
+    """
     if at < suspect.released_at + DUPLICATE_WINDOW_MS:
-        return False  # The same release by another way.
+        return False  # The same release, received again from another peer.
     suspect.released_at = at
     kept = [crash for crash in suspect.crashes if crash.at > at]
     set_crashes(suspect, kept)
--- a/lentilmoor/quarantine.py
+++ b/lentilmoor/quarantine.py
@@ -1,14 +1,18 @@
-"""Quarantine: requests that crash each server that runs them.
-
-A request is known by its fingerprint (see `fingerprints`). Each request in
-flight on a server when its process ended is a suspect; a suspect runs again
-only alone among suspects, so the next crash names it. Two crashes with no clean
-run between them block a fingerprint: it is answered as not run without
-reaching a server. All follows from the crashes, the last clean run and the last
-release; entries gossip these, so they agree without counting a crash twice.
-Where suspects can't be run alone, `crashes.BlockPolicy` asks for more crashes.
+"""Quarantine of requests that crash each server that runs them.
+
+Requests are identified by their fingerprint (see `fingerprints`). Each request
+that was in flight on a server when its process ended is a suspect. A server
+runs at most one suspect at a time, so that the next crash identifies the
+request that caused it. Two crashes with no clean run between them block a
+fingerprint: its requests are rejected as not run without reaching a server.
+
+The state of a fingerprint depends only on its crashes, its last clean run and
+its last release. Entries exchange these by gossip, so they reach the same state
+and count no crash twice. Where suspects can't be run one at a time,
+`crashes.BlockPolicy` requires more crashes.
+
 Request threads and the control actor share the table, so each change holds its
-lock; `check` takes none.
+lock; `check` acquires no lock.
 """
 
 from collections.abc import Iterable
@@ -20,19 +24,20 @@
 
 from lentilmoor import crashes
 
-# A server that was taken for crashed may be proven alive for this long.
-_DOUBT_MS = 10_000.0
-_MOST_SUSPECTS = 4_096
-# Crashes of servers are remembered for as long as they may explain a block.
-_MOST_ENDS = 1_024
-# Changed suspects and servers that are told at a time.
-_MOST_TOLD = 64
-# Servers that are lost together crash within this time of each other.
-_COMMON_CAUSE_MS = 1_000.0
+# Time during which an answer can prove that a server has not crashed.
+_REVOCATION_WINDOW_MS = 10_000.0
+_MAX_SUSPECTS = 4_096
+# Maximum number of server crashes kept. Each is kept for as long as it may
+# explain a block.
+_MAX_SERVER_CRASHES = 1_024
+# Maximum number of changed suspects and server crashes sent at a time.
+_MAX_CHANGES_PER_MESSAGE = 64
+# Crashes of servers within this time may have a common cause.
+_CONCURRENT_CRASH_MS = 1_000.0
 
 
 class Verdict(enum.Enum):
-    """What may be done with a request."""
+    """Whether a request may be dispatched (see `check`)."""
 
     CLEAR = 'clear'
     SUSPECT = 'suspect'
@@ -41,15 +46,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Evidence:
-    """One observation as it travels between entries (peer.CrashEvidence).
+    """One observation, as entries exchange it (peer.CrashEvidence).
 
     Attributes:
-      fingerprint: 16 bytes; empty for the crash of a server, whatever it ran.
+      fingerprint: 16 bytes; empty for the crash of a server regardless of its
+        requests.
       service: 'team/service'.
-      crashes: 1 for a crash, 0 for a run that ended well.
+      crashes: 1 for a crash, 0 for a clean run or a release.
       age_ms: Time since the observation.
-      server: Where it was seen; empty for a release.
-      released: An operator let the request pass again.
+      server: Id of the server that crashed or answered; empty for a release.
+      released: Whether an operator released the request.
     """
 
     fingerprint: bytes
@@ -62,12 +68,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerCrash:
-    """The crash of a server, whatever it ran.
+    """The crash of a server, regardless of the requests that it ran.
 
     Attributes:
-      service: Its service.
-      at: When, ms.
-      version: Of the quarantine when this was learned.
+      service: 'team/service'.
+      at: Time of the crash, ms.
+      version: Version of the quarantine when the crash was recorded.
     """
 
     service: str
@@ -89,8 +95,8 @@
       refused_count: Number of requests refused because they were blocked.
       evicted_count: Number of suspects removed because the table was full.
       policy: When requests are blocked.
-      server_crashes: Crashes of servers, whatever they ran, by server id; each
-        start of a server has its own id.
+      server_crashes: Crashes of servers, regardless of their requests, by
+        server id; each start of a server has its own id.
       version: Incremented by each change of a suspect or a server crash.
       lock: Held while the table changes.
     """
@@ -116,7 +122,7 @@
 
     Args:
       table: The quarantine.
-      fingerprint: Of the request.
+      fingerprint: Fingerprint of the request.
       now: ms.
 
     Returns:
@@ -135,16 +141,17 @@
 
 def acquire_suspect_slot(table: Quarantine, server: str,
                          fingerprint: bytes) -> bool:
-    """Takes a server's one place for suspects.
+    """Acquires the only slot of a server for suspects.
 
     Args:
-      table: The quarantine of the entry that is the server's home.
+      table: The quarantine of the server's home entry.
       server: Server id.
-      fingerprint: Of the suspect.
+      fingerprint: Fingerprint of the suspect.
 
     Returns:
-      Whether it may run now. If not, another suspect runs there: wait for
-      its end, then `check` again, as it may have been cleared.
+      Whether the suspect may run now. If not, another suspect runs there: try
+      again after it has ended, and then `check` again, as the suspect may
+      have been cleared.
     """
     with table.lock:
         if server in table.running_suspects:
@@ -154,19 +161,19 @@
 
 
 def release_suspect_slot(table: Quarantine, server: str) -> None:
-    """Gives a server's place for suspects back."""
+    """Releases the slot of a server for suspects."""
     table.running_suspects.pop(server, None)
 
 
 def report_crash(table: Quarantine, fingerprint: bytes, service: str,
                  server: str, now: float) -> Evidence:
-    """Notes that a server's process seems to have ended during a request.
+    """Records that a server's process seems to have ended during a request.
 
     Args:
       table: The quarantine; updated.
-      fingerprint: Of the request whose connection was lost.
+      fingerprint: Fingerprint of the request whose connection was lost.
       service: 'team/service'.
-      server: The server that ended.
+      server: Id of the server that seems to have crashed.
       now: ms.
 
     Returns:
@@ -179,38 +186,38 @@
 
 def report_clean_run(table: Quarantine, fingerprint: bytes, server: str,
                      now: float) -> Evidence | None:
-    """Notes that a request ran and its server lives.
+    """Records that a request ran without crashing its server.
 
     Args:
       table: The quarantine; updated.
-      fingerprint: Of the request, whole answer received.
-      server: The server that answered.
+      fingerprint: Fingerprint of the request, whose answer is complete.
+      server: Id of the server that answered.
       now: ms.
 
     Returns:
-      Evidence for the peers if it had been a suspect, else None.
+      Evidence for the peers if the request was a suspect, else None.
     """
     suspect = table.suspects.get(fingerprint)
     if suspect is None or not suspect.crashes:
         return None
     with table.lock:
         crashes.apply_clean_run(suspect, now)
-        _touch(table, suspect)
+        _mark_changed(table, suspect)
     return Evidence(fingerprint, suspect.service, 0, 0.0, server)
 
 
 def report_server_crash(table: Quarantine, service: str, server: str,
                         now: float) -> None:
-    """Notes that a server crashed, whatever it ran.
+    """Records that a server crashed, regardless of its requests.
 
     Args:
       table: The quarantine; updated.
-      service: Its service.
-      server: Its id, which no later start has.
+      service: The server's service.
+      server: Server id; each start of a server has its own id.
       now: ms.
     """
     with table.lock:
-        _add_end(table, service, server, now)
+        _add_server_crash(table, service, server, now)
 
 
 def report_alive(table: Quarantine,
@@ -218,28 +225,29 @@
                  since: float,
                  now: float,
                  until: float = math.inf) -> list[Evidence]:
-    """Takes back crashes of a server that turned out to be alive.
+    """Revokes crashes of a server that is still alive.
 
     Args:
       table: The quarantine; updated.
       server: Server id.
-      since: When a connection was opened that has answered just now, ms; the
-        server's process has lived from then on.
+      since: When the connection was opened over which the server has just
+        answered, ms; its process has been running since then.
       now: ms.
-      until: Up to when that is certain, ms; later crashes stay.
+      until: Time until which the process is known to have been running, ms;
+        later crashes are kept.
 
     Returns:
-      Evidence for the peers that those requests did no harm.
+      Evidence for the peers that the requests did not crash the server.
     """
     if not since < table.unconfirmed_crashes.get(server, since) <= until:
         return []
     with table.lock:
         table.unconfirmed_crashes.pop(server, None)
-        return _take_back(table, server, since, until, now)
+        return _revoke_crashes(table, server, since, until, now)
 
 
-def _take_back(table: Quarantine, server: str, since: float, until: float,
-               now: float) -> list[Evidence]:
+def _revoke_crashes(table: Quarantine, server: str, since: float, until: float,
+                    now: float) -> list[Evidence]:
     cleared = []
     for fingerprint, suspect in table.suspects.items():
         kept = [
@@ -249,7 +257,7 @@
         if len(kept) == len(suspect.crashes):
             continue
         crashes.set_crashes(suspect, kept)
-        _touch(table, suspect)
+        _mark_changed(table, suspect)
         if not kept:
             suspect.clean_run_at = now
             cleared.append(
@@ -258,7 +266,7 @@
 
 
 def merge(table: Quarantine, items: Iterable[Evidence], now: float) -> None:
-    """Takes in evidence from peers; the same evidence twice changes nothing.
+    """Merges evidence from peers; merging it again changes nothing.
 
     Args:
       table: The quarantine; updated.
@@ -272,49 +280,50 @@
 
 def _merge_item(table: Quarantine, item: Evidence, at: float) -> None:
     if not item.fingerprint:
-        _add_end(table, item.service, item.server, at)
+        _add_server_crash(table, item.service, item.server, at)
     elif item.released:
-        _release(table, item.fingerprint, item.service, at)
+        _apply_release(table, item.fingerprint, item.service, at)
     elif item.crashes:
         _add_crash(table, item.fingerprint, item.service,
                    crashes.Crash(item.server, at))
     else:
-        # Crashes before it may still be under way.
-        suspect = _find_suspect(table, item.fingerprint, item.service)
+        # The suspect is added even if it is unknown, since reports of crashes
+        # before the clean run may arrive later.
+        suspect = _get_or_add_suspect(table, item.fingerprint, item.service)
         if crashes.merge_clean_run(suspect, at):
-            _touch(table, suspect)
+            _mark_changed(table, suspect)
 
 
 def release(table: Quarantine, fingerprint: bytes, service: str,
             now: float) -> Evidence:
-    """Lets a request pass again, by an operator's order.
+    """Unblocks a request at an operator's command.
 
     Args:
       table: The quarantine; updated.
-      fingerprint: Of the request.
+      fingerprint: Fingerprint of the request.
       service: 'team/service'.
       now: ms.
 
     Returns:
-      Evidence for the peers; crashes before now no longer count anywhere.
+      Evidence for the peers, which then ignore crashes before now too.
     """
     with table.lock:
-        _release(table, fingerprint, service, now)
+        _apply_release(table, fingerprint, service, now)
     return Evidence(fingerprint, service, 0, 0.0, released=True)
 
 
 def export(table: Quarantine, now: float) -> list[Evidence]:
-    """Returns all that peers should know, for the periodic exchange."""
+    """Returns the evidence on all suspects, for the periodic exchange."""
     with table.lock:
         return [
             item for fingerprint, suspect in table.suspects.items()
-            for item in _describe(fingerprint, suspect, now)
+            for item in _list_evidence(fingerprint, suspect, now)
         ]
 
 
 def list_changes(table: Quarantine, since: int,
                  now: float) -> tuple[list[Evidence], int]:
-    """Returns what has changed, for a peer that knows an earlier version.
+    """Returns the changes since a version, for a peer that has that version.
 
     Args:
       table: The quarantine.
@@ -322,30 +331,32 @@
       now: ms.
 
     Returns:
-      Evidence, and the version up to which it tells everything.
+      Evidence, and the version up to which it includes all changes.
     """
     if table.version <= since:
         return [], table.version
     with table.lock:
-        changed = [(suspect.version, [*_describe(fingerprint, suspect, now)])
+        changed = [(suspect.version,
+                    [*_list_evidence(fingerprint, suspect, now)])
                    for fingerprint, suspect in table.suspects.items()
                    if suspect.version > since]
-        changed += [(end.version,
-                     [Evidence(b'', end.service, 1, now - end.at, server)])
-                    for server, end in table.server_crashes.items()
-                    if end.version > since]
+        changed += [(crash.version,
+                     [Evidence(b'', crash.service, 1, now - crash.at, server)])
+                    for server, crash in table.server_crashes.items()
+                    if crash.version > since]
         version = table.version
     changed.sort(key=lambda row: row[0])
-    if len(changed) > _MOST_TOLD:
-        changed = changed[:_MOST_TOLD]
+    if len(changed) > _MAX_CHANGES_PER_MESSAGE:
+        changed = changed[:_MAX_CHANGES_PER_MESSAGE]
         version = changed[-1][0]
     return [item for _, items in changed for item in items], version
 
 
 def has_concurrent_crashes(table: Quarantine, fingerprint: bytes) -> bool:
-    """Returns whether servers crashed together with those that ran a request.
+    """Returns whether other servers crashed together with a request's servers.
 
-    What lost them may have lost the others too, with the request on them.
+    The cause of those crashes may also have crashed the servers that ran the
+    request.
     """
     with table.lock:
         suspect = table.suspects.get(fingerprint)
@@ -356,14 +367,14 @@
             for crash in (*suspect.crashes, *table.attributed_crashes)
         }
         return any(
-            end.service == suspect.service and server not in known and any(
-                abs(end.at - crash.at) <= _COMMON_CAUSE_MS
+            other.service == suspect.service and server not in known and any(
+                abs(other.at - crash.at) <= _CONCURRENT_CRASH_MS
                 for crash in suspect.crashes)
-            for server, end in table.server_crashes.items())
+            for server, other in table.server_crashes.items())
 
 
-def _describe(fingerprint: bytes, suspect: crashes.Suspect,
-              now: float) -> Iterator[Evidence]:
+def _list_evidence(fingerprint: bytes, suspect: crashes.Suspect,
+                   now: float) -> Iterator[Evidence]:
     service = suspect.service
     for crash in suspect.crashes:
         yield Evidence(fingerprint, service, 1, now - crash.at, crash.server)
@@ -375,7 +386,7 @@
 
 
 def list_blocked(table: Quarantine, now: float) -> dict[bytes, crashes.Suspect]:
-    """Returns what is blocked now, for operators."""
+    """Returns the suspects that are blocked now, by fingerprint."""
     with table.lock:
         return {
             fingerprint: suspect
@@ -385,7 +396,10 @@
 
 
 def list_uncleared_blocks(table: Quarantine) -> dict[bytes, crashes.Suspect]:
-    """Returns what has been blocked and not cleared since."""
+    """Returns suspects that were blocked and not cleared, by fingerprint.
+
+    Includes those whose block has expired.
+    """
     with table.lock:
         return {
             fingerprint: suspect
@@ -395,7 +409,7 @@
 
 
 def step(table: Quarantine, now: float) -> None:
-    """Forgets what is old and what a blocked request accounts for.
+    """Removes expired observations and crashes that a blocked request caused.
 
     Args:
       table: The quarantine; updated.
@@ -403,17 +417,18 @@
     """
     if table.suspects or table.server_crashes:
         with table.lock:
-            _forget(table, now)
+            _remove_expired(table, now)
 
 
-def _forget(table: Quarantine, now: float) -> None:
+def _remove_expired(table: Quarantine, now: float) -> None:
     table.unconfirmed_crashes = {
         server: at
         for server, at in table.unconfirmed_crashes.items()
-        if at > now - _DOUBT_MS
+        if at > now - _REVOCATION_WINDOW_MS
     }
-    # Reports of a crash may still be under way for a while; only then is it
-    # known which requests shared both crashes.
+    # Other reports of a recent crash may still arrive, and only they show which
+    # requests were in flight at both crashes. A recent crash is therefore not
+    # attributed to a blocked request yet.
     settled = now - crashes.DUPLICATE_WINDOW_MS
     table.attributed_crashes = [
         crash for suspect in table.suspects.values()
@@ -422,23 +437,23 @@
     ]
     for fingerprint, suspect in list(table.suspects.items()):
         if not suspect.blocked_until:
-            _drop_explained(table, suspect)
+            _remove_attributed(table, suspect)
         if crashes.is_expired(suspect, now):
             del table.suspects[fingerprint]
-    for server, end in list(table.server_crashes.items()):
-        if end.at + crashes.BLOCK_MS < now:
+    for server, server_crash in list(table.server_crashes.items()):
+        if server_crash.at + crashes.BLOCK_MS < now:
             del table.server_crashes[server]
 
 
-def _drop_explained(table: Quarantine, suspect: crashes.Suspect) -> None:
+def _remove_attributed(table: Quarantine, suspect: crashes.Suspect) -> None:
     if not table.attributed_crashes or not suspect.crashes:
         return
     suspect.crashes = [
-        crash for crash in suspect.crashes if not _is_explained(table, crash)
+        crash for crash in suspect.crashes if not _is_attributed(table, crash)
     ]
 
 
-def _is_explained(table: Quarantine, crash: crashes.Crash) -> bool:
+def _is_attributed(table: Quarantine, crash: crashes.Crash) -> bool:
     return any(
         crashes.is_duplicate(crash, known, table.policy)
         for known in table.attributed_crashes)
@@ -446,59 +461,60 @@
 
 def _add_crash(table: Quarantine, fingerprint: bytes, service: str,
                crash: crashes.Crash) -> None:
-    """Adds a crash to a suspect, unless it is known or says nothing."""
-    if fingerprint not in table.suspects and _is_explained(table, crash):
+    """Adds a crash to a suspect unless it is known, outdated or attributed."""
+    if fingerprint not in table.suspects and _is_attributed(table, crash):
         return
-    suspect = _find_suspect(table, fingerprint, service)
+    suspect = _get_or_add_suspect(table, fingerprint, service)
     if crash.at <= max(suspect.clean_run_at, suspect.released_at):
         return
     if any(
             crashes.is_duplicate(crash, known, table.policy)
             for known in suspect.crashes):
         return
-    if not suspect.crashes and _is_explained(table, crash):
+    if not suspect.crashes and _is_attributed(table, crash):
         return
     table.unconfirmed_crashes[crash.server] = crash.at
     known = sorted([*suspect.crashes, crash], key=lambda item: item.at)
     crashes.set_crashes(suspect, known[-crashes.MAX_CRASHES:])
-    _touch(table, suspect)
+    _mark_changed(table, suspect)
 
 
-def _add_end(table: Quarantine, service: str, server: str, at: float) -> None:
+def _add_server_crash(table: Quarantine, service: str, server: str,
+                      at: float) -> None:
     if server in table.server_crashes:
         return
-    if len(table.server_crashes) >= _MOST_ENDS:
+    if len(table.server_crashes) >= _MAX_SERVER_CRASHES:
         del table.server_crashes[next(iter(table.server_crashes))]
     table.version += 1
     table.server_crashes[server] = ServerCrash(service, at, table.version)
 
 
-def _find_suspect(table: Quarantine, fingerprint: bytes,
-                  service: str) -> crashes.Suspect:
-    """Returns what is known of a fingerprint; a new suspect if nothing is."""
+def _get_or_add_suspect(table: Quarantine, fingerprint: bytes,
+                        service: str) -> crashes.Suspect:
+    """Returns the suspect of a fingerprint; adds it if it is unknown."""
     suspect = table.suspects.get(fingerprint)
     if suspect is None:
-        _make_room(table)
+        _evict_if_full(table)
         suspect = crashes.Suspect(service, policy=table.policy)
         table.suspects[fingerprint] = suspect
     return suspect
 
 
-def _touch(table: Quarantine, suspect: crashes.Suspect) -> None:
+def _mark_changed(table: Quarantine, suspect: crashes.Suspect) -> None:
     table.version += 1
     suspect.version = table.version
 
 
-def _release(table: Quarantine, fingerprint: bytes, service: str,
-             at: float) -> None:
-    suspect = _find_suspect(table, fingerprint, service)
+def _apply_release(table: Quarantine, fingerprint: bytes, service: str,
+                   at: float) -> None:
+    suspect = _get_or_add_suspect(table, fingerprint, service)
     if crashes.apply_release(suspect, at):
-        _touch(table, suspect)
+        _mark_changed(table, suspect)
 
 
-def _make_room(table: Quarantine) -> None:
-    """Forgets the oldest suspect that was not blocked, if the table is full."""
-    if len(table.suspects) < _MOST_SUSPECTS:
+def _evict_if_full(table: Quarantine) -> None:
+    """Removes the oldest suspect that was not blocked if the table is full."""
+    if len(table.suspects) < _MAX_SUSPECTS:
         return
     for fingerprint, suspect in table.suspects.items():
         if not suspect.blocked_until:
