--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -1,10 +1,11 @@
-"""Requests that crash the servers that run them.
-
-A request without an answer is held against its server until one of three things
-shows that the server has crashed: it refuses connections, another process is in
-its place, or its registration has run out with no answer since. `quarantine`
-tells what follows from the crashes. Entries exchange them with their reports,
-and what is blocked is kept in the store too.
+"""Detection and blocking of requests that crash the servers that run them.
+
+A request without an answer is kept as lost on its server until one of three
+observations proves that the server has crashed: it refuses connections, another
+process has replaced it, or its registration has ended and it has not answered
+any request since. `quarantine` decides which requests the crashes block.
+Entries exchange crashes with their reports, and blocked requests are also
+stored.
 """
 
 from collections.abc import Iterable
@@ -22,30 +23,32 @@
 from lentilmoor.edge import requests
 from lentilmoor.edge import tables
 
-# Three crashes, as two in a row happen to sound requests when servers are lost.
-# Servers that are lost together count once.
+# The threshold is three, because harmless requests can be in flight at two
+# crashes in a row when servers are lost. Servers that are lost together count
+# as one.
 BLOCK_POLICY = crashes.BlockPolicy(threshold=3,
                                    duplicate_window_ms=math.inf,
                                    common_cause_window_ms=500.0)
-# A request that crashed so many servers is sent to one server at a time.
-_LAST_REPEAT = 2
-# A request without an answer says nothing of a crash that is learned of later.
-_LOSS_MS = 10_000.0
-_MOST_LOSSES = 64
-# A server is asked for a connection after a loss, for so long and so often.
-_CHECK_MS = 100.0
-_CHECK_AGAIN_MS = 250.0
-# Answers that were under way when a server crashed come within this time.
-_LAST_ANSWERS_MS = 250.0
-# A blocked request may crash one more server after this time, where crashes
-# that it had no part in speak for another cause.
+# A request with this many crashes is not retried on another server.
+_NO_RETRY_CRASHES = 2
+# A lost request is not attributed to a crash that is detected later than this.
+_LOSS_RETENTION_MS = 10_000.0
+_MAX_LOSSES_PER_SERVER = 64
+# Timeout and minimum interval of the connection attempts that check whether a
+# server has crashed after it lost a request.
+_CHECK_TIMEOUT_MS = 100.0
+_CHECK_INTERVAL_MS = 250.0
+# Answers that a server sent before it crashed arrive within this time.
+_LATE_ANSWER_MS = 250.0
+# Delay before a blocked request is tried on one more server, if crashes that it
+# was not involved in suggest another cause.
 TRIAL_DELAY_MS = 5_000.0
-# Time for a caller of a blocked request to come back.
+# Time after which the caller of a blocked request may retry.
 RETRY_AFTER_MS = 30_000
-# When a crash was that another entry told of is known as well as this.
-_TOLD_MS = 1_000.0
-# Requests that one line names.
-_MOST_NAMED = 20
+# Maximum error of the times of crashes that other entries report.
+_CRASH_TIME_ERROR_MS = 1_000.0
+# Maximum number of requests listed in one log line.
+_MAX_LOGGED_FINGERPRINTS = 20
 
 _Reason = outcomes.Reason
 
@@ -55,7 +58,7 @@
     """A request that a server has not answered.
 
     Attributes:
-      fingerprint: Of the request.
+      fingerprint: Fingerprint of the request.
       service: The server's service.
       sent_at: When it was sent, ms.
       lost_at: When the connection was lost or the request timed out, ms.
@@ -68,12 +71,12 @@
 
 
 def make_quarantine() -> quarantine.Quarantine:
-    """Returns an empty quarantine for servers with an id for each start."""
+    """Returns an empty quarantine for servers with a new id at each start."""
     return quarantine.Quarantine(policy=BLOCK_POLICY)
 
 
 def make_fingerprint(request: requests.Request) -> bytes:
-    """Returns what tells a request from others, whoever sends it again."""
+    """Returns the fingerprint of a request, which is the same for a resend."""
     digest = fingerprints.BodyDigest()
     fingerprints.update_digest(digest, request.body)
     content = {
@@ -92,7 +95,8 @@
     """Returns whether a request may be sent.
 
     Returns:
-      SUSPECT: it is blocked, but may be tried once (see `begin_trial`).
+      CLEAR: it may be sent. BLOCKED: it must not be sent. SUSPECT: it is
+      blocked, but may be tried once (see `begin_trial`).
     """
     table = forwarder.suspects
     if not table.suspects:
@@ -101,27 +105,28 @@
     suspect = table.suspects.get(fingerprint)
     if suspect is None or not suspect.blocked_until:
         return quarantine.Verdict.CLEAR
-    due = (now >= suspect.blocked_until or
-           _is_doubtful(table, fingerprint, suspect, now))
-    if due and _may_try(forwarder, fingerprint, now):
+    is_trial_due = (now >= suspect.blocked_until or
+                    _may_have_other_cause(table, fingerprint, suspect, now))
+    if is_trial_due and _is_trial_allowed(forwarder, fingerprint, now):
         return quarantine.Verdict.SUSPECT
     return quarantine.Verdict.BLOCKED
 
 
-def _is_doubtful(table: quarantine.Quarantine, fingerprint: bytes,
-                 suspect: crashes.Suspect, now: float) -> bool:
-    """Returns whether a first block may have another cause."""
+def _may_have_other_cause(table: quarantine.Quarantine, fingerprint: bytes,
+                          suspect: crashes.Suspect, now: float) -> bool:
+    """Returns whether a request's first block may have another cause."""
     last_at = max((crash.at for crash in suspect.crashes), default=now)
     is_first = suspect.blocked_until <= last_at + crashes.BLOCK_MS
     return (is_first and now >= last_at + TRIAL_DELAY_MS and
             quarantine.has_concurrent_crashes(table, fingerprint))
 
 
-def _may_try(forwarder: requests.Forwarder, fingerprint: bytes,
-             now: float) -> bool:
+def _is_trial_allowed(forwarder: requests.Forwarder, fingerprint: bytes,
+                      now: float) -> bool:
     """Returns whether this entry may try a blocked request.
 
-    One entry alone tries it, and not again before the next block would end.
+    Only one entry tries it, and not again within `crashes.BLOCK_MS`, which is
+    when the next block would end.
     """
     tried_at = forwarder.tried.get(fingerprint, -math.inf)
     return forwarder.tries_suspects and now >= tried_at + crashes.BLOCK_MS
@@ -129,10 +134,10 @@
 
 def begin_trial(forwarder: requests.Forwarder,
                 request: requests.Request) -> bool:
-    """Returns whether a blocked request may be tried, now and only by this."""
+    """Starts a trial of a blocked request; returns False if none is allowed."""
     fingerprint, now = make_fingerprint(request), forwarder.clock.now()
     with forwarder.lock:
-        if not _may_try(forwarder, fingerprint, now):
+        if not _is_trial_allowed(forwarder, fingerprint, now):
             return False
         forwarder.tried[fingerprint] = now
     forwarder.logger.warning('suspect_tried',
@@ -142,34 +147,36 @@
 
 
 def make_refusal() -> outcomes.NotRun:
-    """Returns the refusal of a blocked request."""
-    return outcomes.NotRun(_Reason.QUARANTINED,
-                           'this request crashes its servers', RETRY_AFTER_MS)
+    """Returns the result for the caller of a blocked request."""
+    return outcomes.NotRun(
+        _Reason.QUARANTINED,
+        'blocked: this request crashed the servers that ran it', RETRY_AFTER_MS)
 
 
 def may_retry(forwarder: requests.Forwarder, run: requests.Run) -> bool:
-    """Returns whether a request that was lost may go to another server."""
+    """Returns whether a lost request may be retried on another server."""
     if run.on_trial:
         return False
     suspect = forwarder.suspects.suspects.get(make_fingerprint(run.request))
-    return suspect is None or len(suspect.crashes) < _LAST_REPEAT
+    return suspect is None or len(suspect.crashes) < _NO_RETRY_CRASHES
 
 
 def note_lost_request(forwarder: requests.Forwarder, run: requests.Run,
                       server: tables.Server, pool: connections.Pool,
                       timed_out: bool) -> None:
-    """Takes in a request that a server did not answer.
+    """Records a request that a server did not answer.
 
-    Asks the server for a connection, unless it has answered others meanwhile.
-    Servers that leave may end with requests on them.
+    Opens a connection to check whether the server has crashed, unless it has
+    answered other requests since. Requests that are lost on a server that is
+    leaving are ignored, as it may end while requests are in flight.
 
     Args:
-      forwarder: What is known.
+      forwarder: State of the entry.
       run: The request.
-      server: Who did not answer.
-      pool: Connections to it.
-      timed_out: Whether the caller's time is over; the server is asked by
-        another thread then.
+      server: The server that did not answer.
+      pool: Connections to the server.
+      timed_out: Whether the caller's deadline has passed; if so, another thread
+        checks the server.
     """
     now = forwarder.clock.now()
     if _is_leaving(forwarder, server, run.sent_at):
@@ -180,62 +187,65 @@
         state = forwarder.states.setdefault(server.id, placement.ServerState())
         losses = forwarder.losses.setdefault(server.id, [])
         losses.append(loss)
-        del losses[:-_MOST_LOSSES]
-        asks = (_is_silent(state, loss) and
-                now >= state.checked_at + _CHECK_AGAIN_MS)
-        if asks:
+        del losses[:-_MAX_LOSSES_PER_SERVER]
+        needs_check = (_is_unresponsive(state, loss) and
+                       now >= state.checked_at + _CHECK_INTERVAL_MS)
+        if needs_check:
             state.checked_at = now
     if server.id in forwarder.suspects.server_crashes:
-        _blame(forwarder, server.id)
-    elif _find_known(forwarder, server).unlisted_at:
+        _report_lost_requests(forwarder, server.id)
+    elif _find_current_server(forwarder, server).unlisted_at:
         note_unlisted(forwarder, server)
-    elif asks and timed_out:
+    elif needs_check and timed_out:
         threading.Thread(target=_check_server,
                          args=(forwarder, server, pool),
                          daemon=True).start()
-    elif asks:
+    elif needs_check:
         _check_server(forwarder, server, pool)
 
 
 def _check_server(forwarder: requests.Forwarder, server: tables.Server,
                   pool: connections.Pool) -> None:
-    """Takes in that a server has crashed if it refuses connections."""
-    if exchange.check(pool, _CHECK_MS) is _Reason.CONNECT_FAILED:
+    """Records the crash of a server if it refuses connections."""
+    if exchange.check(pool, _CHECK_TIMEOUT_MS) is _Reason.CONNECT_FAILED:
         note_connection_refused(forwarder, server)
 
 
-def _find_known(forwarder: requests.Forwarder,
-                server: tables.Server) -> tables.Server:
-    """Returns a server as it is known now."""
+def _find_current_server(forwarder: requests.Forwarder,
+                         server: tables.Server) -> tables.Server:
+    """Returns the newest known state of a server."""
     servers = forwarder.snapshot.servers.get(server.service, {})
     return servers.get(server.id, server)
 
 
 def _is_leaving(forwarder: requests.Forwarder, server: tables.Server,
                 now: float) -> bool:
-    """Returns whether a server drains, or was unlisted at a time."""
-    known = _find_known(forwarder, server)
+    """Returns whether a server is draining or was unlisted at a time."""
+    current = _find_current_server(forwarder, server)
     state = forwarder.states.get(server.id)
-    return (known.draining or 0.0 < known.unlisted_at <= now or
+    return (current.draining or 0.0 < current.unlisted_at <= now or
             state is not None and state.draining_at is not None)
 
 
-def _is_silent(state: placement.ServerState, loss: LostRequest) -> bool:
-    """Returns whether a server has answered nothing since a request."""
-    return state.answered_at <= loss.sent_at + _LAST_ANSWERS_MS
+def _is_unresponsive(state: placement.ServerState, loss: LostRequest) -> bool:
+    """Returns whether a server has answered no request since a lost one.
+
+    Answers that it may have sent before it crashed are ignored.
+    """
+    return state.answered_at <= loss.sent_at + _LATE_ANSWER_MS
 
 
 def note_answer(forwarder: requests.Forwarder, run: requests.Run,
                 server: tables.Server, opened_at: float, ran: bool) -> None:
-    """Takes in an answer.
+    """Records an answer.
 
     Args:
-      forwarder: What is known.
+      forwarder: State of the entry.
       run: The request.
-      server: Who answered.
-      opened_at: When the connection was opened, ms. What was lost between then
-        and the sending of this request has not crashed the server, as the same
-        process has answered.
+      server: The server that answered.
+      opened_at: When the connection was opened, ms. Requests that were lost
+        between then and the sending of this request did not crash the server,
+        since the same process has answered.
       ran: Whether the answer proves that the request ran.
     """
     table, now = forwarder.suspects, forwarder.clock.now()
@@ -250,7 +260,7 @@
     if not table.suspects:
         return
     quarantine.report_alive(table, server.id, opened_at, now,
-                            run.sent_at - _TOLD_MS)
+                            run.sent_at - _CRASH_TIME_ERROR_MS)
     if ran:
         quarantine.report_clean_run(table, make_fingerprint(run.request),
                                     server.id, now)
@@ -258,85 +268,88 @@
 
 def note_connection_refused(forwarder: requests.Forwarder,
                             server: tables.Server) -> None:
-    """Takes in that a server refuses connections."""
+    """Records a crash, since a server refuses connections."""
     if not _is_leaving(forwarder, server, forwarder.clock.now()):
-        _note_crash(forwarder, server, 'refused')
+        _record_server_crash(forwarder, server, 'refused')
 
 
 def note_process_replaced(forwarder: requests.Forwarder,
                           server: tables.Server) -> None:
-    """Takes in that another process has taken a server's place."""
+    """Records a crash, since another process has replaced a server."""
     if not _is_leaving(forwarder, server, forwarder.clock.now()):
-        _note_crash(forwarder, server, 'replaced')
+        _record_server_crash(forwarder, server, 'replaced')
 
 
-def _note_crash(forwarder: requests.Forwarder, server: tables.Server,
-                proof: str) -> None:
-    """Takes in that a server has crashed, and what was lost on it."""
+def _record_server_crash(forwarder: requests.Forwarder, server: tables.Server,
+                         proof: str) -> None:
+    """Records that a server has crashed, and reports its lost requests."""
     if server.id not in forwarder.suspects.server_crashes:
         quarantine.report_server_crash(forwarder.suspects, server.service,
                                        server.id, forwarder.clock.now())
         forwarder.logger.info('server_crashed', server=server.id, proof=proof)
-    _blame(forwarder, server.id)
+    _report_lost_requests(forwarder, server.id)
 
 
 def note_unlisted(forwarder: requests.Forwarder, server: tables.Server) -> None:
-    """Takes in that a server's registration has ended.
+    """Records a crash if a server whose registration has ended doesn't answer.
 
-    It may be alive, unless requests were lost and none was answered since.
+    The server may be alive unless it lost requests and has answered none since.
     """
     with forwarder.lock:
         state = forwarder.states.get(server.id, placement.ServerState())
-        silent = any(
-            _is_silent(state, loss) and loss.lost_at > forwarder.clock.now() -
-            _LOSS_MS for loss in forwarder.losses.get(server.id, []))
-    if silent and not _is_leaving(forwarder, server, 0.0):
-        _note_crash(forwarder, server, 'unlisted')
+        unresponsive = any(
+            _is_unresponsive(state, loss) and
+            loss.lost_at > forwarder.clock.now() - _LOSS_RETENTION_MS
+            for loss in forwarder.losses.get(server.id, []))
+    if unresponsive and not _is_leaving(forwarder, server, 0.0):
+        _record_server_crash(forwarder, server, 'unlisted')
 
 
-def _blame(forwarder: requests.Forwarder, server: str) -> None:
-    """Reports the requests that were lost on a server that has crashed."""
+def _report_lost_requests(forwarder: requests.Forwarder, server: str) -> None:
+    """Records the requests lost on a crashed server as suspects."""
     table, now = forwarder.suspects, forwarder.clock.now()
     with forwarder.lock:
         losses = forwarder.losses.pop(server, [])
-    recent = [loss for loss in losses if loss.lost_at > now - _LOSS_MS]
+    recent = [
+        loss for loss in losses if loss.lost_at > now - _LOSS_RETENTION_MS
+    ]
     for loss in recent:
         quarantine.report_crash(table, loss.fingerprint, loss.service, server,
                                 loss.lost_at)
     if recent:
-        forwarder.logger.info(
-            'requests_suspected',
-            server=server,
-            count=len(recent),
-            fingerprints=[
-                loss.fingerprint.hex() for loss in recent[:_MOST_NAMED]
-            ])
+        forwarder.logger.info('requests_suspected',
+                              server=server,
+                              count=len(recent),
+                              fingerprints=[
+                                  loss.fingerprint.hex()
+                                  for loss in recent[:_MAX_LOGGED_FINGERPRINTS]
+                              ])
         forwarder.hurry.set()
 
 
 def merge(forwarder: requests.Forwarder,
           evidence: Iterable[quarantine.Evidence], at: float) -> None:
-    """Takes in what another entry knows.
+    """Merges evidence from another entry.
 
     Args:
-      forwarder: What is known.
-      evidence: What the other knows.
-      at: When its ages were measured, ms.
+      forwarder: State of the entry.
+      evidence: Evidence from the other entry.
+      at: When the ages of the evidence were measured, ms.
     """
     evidence = list(evidence)
     quarantine.merge(forwarder.suspects, evidence, at)
     for item in evidence:
         if not item.fingerprint and item.server in forwarder.losses:
-            _blame(forwarder, item.server)
+            _report_lost_requests(forwarder, item.server)
 
 
 def step(forwarder: requests.Forwarder) -> None:
-    """Drops what is old, and logs which requests are blocked or no longer."""
+    """Removes expired state and logs newly blocked and unblocked requests."""
     table, now = forwarder.suspects, forwarder.clock.now()
     quarantine.step(table, now)
     with forwarder.lock:
         for server, losses in list(forwarder.losses.items()):
-            if losses[-1].lost_at <= now - _LOSS_MS:
+            if losses[-1].lost_at <= now - _LOSS_RETENTION_MS:
                 del forwarder.losses[server]
         for fingerprint, tried_at in list(forwarder.tried.items()):
             if now >= tried_at + crashes.BLOCK_MS:
