--- a/lentilmoor/edge/savedsuspects.py
+++ b/lentilmoor/edge/savedsuspects.py
@@ -1,4 +1,7 @@
-"""Blocked requests in the store, for entries that start when no other is up."""
+"""Blocked requests in the store.
+
+An entry that starts while no other entry is running reads them from there.
+"""
 
 from lentilmoor import crashes
 from lentilmoor import outcomes
@@ -7,17 +10,18 @@
 from lentilmoor.edge import ports
 from lentilmoor.edge import suspects
 
-# Until a write is known by the store's news; a failed one is repeated then.
+# Delay before the next write. The store's news normally confirm a write within
+# this time; a failed write is repeated after it.
 WRITE_RETRY_MS = 1_000.0
 
 
 def merge_stored(context: beliefs.Context, before: ports.Everything | None,
                  everything: ports.Everything) -> None:
-    """Takes in blocked requests that are new in the store."""
-    known = before.suspects if before else {}
+    """Merges blocked requests that have changed in the store."""
+    previous = before.suspects if before else {}
     now = context.clock.now()
     for name, saved in everything.suspects.items():
-        if known.get(name) is saved:
+        if previous.get(name) is saved:
             continue
         evidence = [
             quarantine.Evidence(saved.fingerprint, saved.service, 1,
@@ -28,7 +32,10 @@
 
 
 def update_store(context: beliefs.Context, now: float) -> None:
-    """Has the store hold what is blocked, if this entry is the first hub."""
+    """Writes the next change of the blocked requests to the store.
+
+    Does nothing unless this entry is the first hub and can reach the store.
+    """
     owned, forwarder = context.owned, context.forwarder
     saved = owned.everything.suspects
     if not (forwarder.suspects.suspects or saved) or now < owned.suspects_at:
@@ -37,18 +44,18 @@
         return
     blocked = quarantine.list_uncleared_blocks(forwarder.suspects)
     for fingerprint, suspect in blocked.items():
-        known = saved.get(fingerprint.hex())
-        if known is None or _list_servers(suspect) - _list_servers(known):
-            _save(context, now, fingerprint, suspect, known)
+        stored = saved.get(fingerprint.hex())
+        if stored is None or _list_servers(suspect) - _list_servers(stored):
+            _save_suspect(context, now, fingerprint, suspect, stored)
             return
-    for name, known in saved.items():
-        if known.fingerprint not in blocked:
+    for name, stored in saved.items():
+        if stored.fingerprint not in blocked:
             owned.suspects_at = now + WRITE_RETRY_MS
             context.logger.info('suspect_forgotten', fingerprint=name)
             context.call(
-                lambda known=known: context.platform.store.forget_suspect(known
-                                                                         ),
-                lambda result, unused_at: _note_result(context, result))
+                lambda stored=stored: context.platform.store.forget_suspect(
+                    stored),
+                lambda result, unused_at: _log_failure(context, result))
             return
 
 
@@ -56,20 +63,21 @@
     return {crash.server for crash in suspect.crashes}
 
 
-def _save(context: beliefs.Context, now: float, fingerprint: bytes,
-          suspect: crashes.Suspect, known: ports.SavedSuspect | None) -> None:
+def _save_suspect(context: beliefs.Context, now: float, fingerprint: bytes,
+                  suspect: crashes.Suspect,
+                  stored: ports.SavedSuspect | None) -> None:
     context.owned.suspects_at = now + WRITE_RETRY_MS
-    revision = 0 if known is None else known.revision
-    found = ports.SavedSuspect(fingerprint, suspect.service,
-                               tuple(suspect.crashes), revision)
+    revision = 0 if stored is None else stored.revision
+    record = ports.SavedSuspect(fingerprint, suspect.service,
+                                tuple(suspect.crashes), revision)
     context.logger.info('suspect_saved',
                         fingerprint=fingerprint.hex(),
-                        crashes=len(found.crashes))
-    context.call(lambda: context.platform.store.save_suspect(found),
-                 lambda result, unused_at: _note_result(context, result))
+                        crashes=len(record.crashes))
+    context.call(lambda: context.platform.store.save_suspect(record),
+                 lambda result, unused_at: _log_failure(context, result))
 
 
-def _note_result(context: beliefs.Context,
+def _log_failure(context: beliefs.Context,
                  result: outcomes.Failed | None) -> None:
     if result is not None:
         context.logger.warning('suspect_not_saved', reason=result.reason.value)
