--- a/lentilmoor/fingerprints.py
+++ b/lentilmoor/fingerprints.py
@@ -1,10 +1,11 @@
-"""Fingerprints: what tells one request from another for the quarantine.
+"""Fingerprints, which identify requests for the quarantine.
 
-A fingerprint covers what decides the work a server does: service, method,
-target, key, the headers that change the content, and the body. A body counts
-by a digest of its bounded prefix and its length, so that it is known before
-the first byte is passed on and costs no more memory than the prefix. Caller,
-trace and idempotency headers are left out: they differ between resends.
+A fingerprint covers the parts of a request that determine the work of a server:
+service, method, target, key, the headers that affect the content, and the body.
+Of the body, it covers the length and a digest of a prefix of limited size, so
+that it can be computed before the first byte is forwarded and needs no more
+memory than the prefix. Caller, trace and idempotency headers are excluded, as
+they differ between resends.
 """
 
 from collections.abc import Mapping
@@ -12,16 +13,17 @@
 
 import xxhash
 
-# Read this much of a body, or all of it, before the request is dispatched.
+# Size of the prefix. The prefix, or all of a shorter body, is read before the
+# request is dispatched.
 PREFIX_BYTES = 65_536
 UNKNOWN_LENGTH = -1
-# Headers that change what a server runs, and that a resend repeats.
+# Headers that affect the work of a server and are the same in a resend.
 CONTENT_HEADERS = ('content-type', 'content-encoding', 'range')
 
 
 @dataclasses.dataclass(slots=True)
 class BodyDigest:
-    """Digest of a body's prefix, fed as it arrives.
+    """Digest of a body's prefix, updated as the body arrives.
 
     Attributes:
       hasher: Running hash of the prefix.
@@ -33,10 +35,10 @@
 
 
 def update_digest(digest: BodyDigest, chunk: bytes) -> None:
-    """Adds the next bytes of a body."""
-    room = PREFIX_BYTES - digest.byte_count
-    if room > 0:
-        digest.hasher.update(chunk[:room])
+    """Adds the next bytes of a body; hashes only those in the prefix."""
+    remaining = PREFIX_BYTES - digest.byte_count
+    if remaining > 0:
+        digest.hasher.update(chunk[:remaining])
     digest.byte_count += len(chunk)
 
 
@@ -49,9 +51,8 @@
                      length: int = UNKNOWN_LENGTH) -> bytes:
     """Returns the 16-byte fingerprint of a request.
 
-    The caller's name is no part of it: the same request of another caller
-    would crash the next server just as well, and clean runs by anybody speak
-    for it.
+    The caller's name is excluded: the same request from another caller would
+    crash the next server too, and a clean run for any caller clears it.
 
     Args:
       service: 'team/service'.
@@ -60,15 +61,16 @@
       key: Routing key.
       headers: Request headers by lower-case name.
       body: Digest of at least the first `PREFIX_BYTES`, or of all of it.
-      length: Declared length; unknown for a chunked body past the prefix.
+      length: Declared length; `UNKNOWN_LENGTH` for a chunked body that is
+        longer than the prefix.
     """
     parts = [service, method, target, key]
     parts += [headers.get(name, '') for name in CONTENT_HEADERS]
-    text = '\0'.join(parts)
-    state = xxhash.xxh3_128(text.encode(errors='surrogateescape'))
+    joined = '\0'.join(parts)
+    hasher = xxhash.xxh3_128(joined.encode(errors='surrogateescape'))
     if body is not None and body.byte_count:
         if length == UNKNOWN_LENGTH and body.byte_count < PREFIX_BYTES:
             length = body.byte_count
-        state.update(f'\0{length}\0'.encode())
-        state.update(body.hasher.digest())
-    return state.digest()
+        hasher.update(f'\0{length}\0'.encode())
+        hasher.update(body.hasher.digest())
+    return hasher.digest()
