--- a/lentilmoor/edge/permits.py
+++ b/lentilmoor/edge/permits.py
@@ -28,7 +28,7 @@
 # Fraction of the limit at which a substitute issuer issues permits.
 SUBSTITUTE_RATE_FACTOR = 0.25
 # Timeout of a permit request to another entry.
-TIMEOUT_MS = 150.0
+REQUEST_TIMEOUT_MS = 150.0
 # Delay before an issuer that did not reply is asked again.
 ISSUER_RETRY_MS = 1_000.0
 # Delay before the next permit request if no issuer replied.
@@ -78,7 +78,7 @@
             message: reports.PermitRequest) -> reports.PermitReply | None:
         request = httpcalls.Request('POST', PATH,
                                     reports.encode_permit(message))
-        result = caller.call(issuer, request, TIMEOUT_MS)
+        result = caller.call(issuer, request, REQUEST_TIMEOUT_MS)
         reason = ''
         if isinstance(result, outcomes.Failed):
             reason = result.reason.value
--- a/lentilmoor/edge/ratelimits.py
+++ b/lentilmoor/edge/ratelimits.py
@@ -17,7 +17,7 @@
 BURST_MS = 500.0
 # Minimum rate of a token bucket, per second. With a rate of zero, no request
 # would be sent, and no answer could clear the limit.
-MIN_RATE = 0.1
+MIN_RATE_PER_S = 0.1
 # The end of a limit is reported to other entries for this time.
 ENDED_RETENTION_MS = 10_000.0
 
@@ -32,7 +32,7 @@
       confirmed_at: When the newest answer with a limit was received, ms.
       blocked_until: When the next permit may be requested, ms.
       sent: Requests sent to the server since they were last logged.
-      repeats: How many of those had already been sent to a server.
+      retries: How many of those had already been sent to a server.
     """
 
     rate: float
@@ -40,7 +40,7 @@
     confirmed_at: float
     blocked_until: float = 0.0
     sent: int = 0
-    repeats: int = 0
+    retries: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -82,7 +82,7 @@
       rate: Tokens per second.
       now: ms.
     """
-    tokens_per_ms = max(MIN_RATE, rate) / clocks.MS_PER_S
+    tokens_per_ms = max(MIN_RATE_PER_S, rate) / clocks.MS_PER_S
     capacity = max(1.0, tokens_per_ms * BURST_MS)
     added = tokens_per_ms * max(0.0, now - bucket.updated_at)
     bucket.tokens = min(capacity, bucket.tokens + added)
@@ -195,14 +195,14 @@
         return {server: limit.rate for server, limit in table.by_server.items()}
 
 
-def note_sent(table: RateLimits, server: str, repeat: bool, now: float,
+def note_sent(table: RateLimits, server: str, is_retry: bool, now: float,
               logger) -> None:
     """Counts a request that is about to be sent.
 
     Args:
       table: The entry's limits.
       server: Id of the destination server.
-      repeat: Whether the request was already sent to a server.
+      is_retry: Whether the request was already sent to a server.
       now: ms.
       logger: Receives the counts of requests to limited servers.
     """
@@ -213,7 +213,7 @@
         if limit is None:
             return
         limit.sent += 1
-        limit.repeats += repeat
+        limit.retries += is_retry
         if now - table.logged_at < LOG_INTERVAL_MS:
             return
         span_ms = now - table.logged_at
@@ -226,15 +226,15 @@
 
 
 def _collect_counts(table: RateLimits) -> list[tuple[str, float, int, int]]:
-    """Returns (id, rate, sent, repeats) per limited server and resets counts.
+    """Returns (id, rate, sent, retries) per limited server and resets counts.
 
     The caller must hold the lock.
     """
     counts = []
     for server, limit in table.by_server.items():
         if limit.sent:
-            counts.append((server, limit.rate, limit.sent, limit.repeats))
-            limit.sent = limit.repeats = 0
+            counts.append((server, limit.rate, limit.sent, limit.retries))
+            limit.sent = limit.retries = 0
     return counts
 
 
