--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -1,4 +1,4 @@
-"""Tests of how entries tell and stop requests that crash their servers."""
+"""Tests of how entries detect and block requests that crash servers."""
 
 import dataclasses
 import io
@@ -38,17 +38,17 @@
                             target, target, {}, b'', None, 0.0)
 
 
-_BAD, _SOUND = _make_request('/bad'), _make_request('/sound')
+_CRASHING, _HARMLESS = _make_request('/bad'), _make_request('/sound')
 
 
 class SuspectsCase(unittest.TestCase):
-    """An entry whose time is moved by hand."""
+    """An entry with a clock that tests advance manually."""
 
     def setUp(self):
         super().setUp()
         self.time = clocks.ManualTime(100_000.0)
         self.forwarder = self._make_forwarder()
-        self.number = 0
+        self.server_count = 0
 
     def _make_forwarder(self) -> requests.Forwarder:
         return requests.Forwarder(self.time.clock(),
@@ -57,16 +57,16 @@
                                   _RULES,
                                   suspects=suspects.make_quarantine())
 
-    def _start_server(self, up: bool) -> tuple[tables.Server, connections.Pool]:
-        """Returns a server, which accepts connections if it is up."""
+    def _add_server(self, up: bool) -> tuple[tables.Server, connections.Pool]:
+        """Adds a server, which accepts connections if it is up."""
         listener = socket.create_server(('127.0.0.1', 0))
         self.addCleanup(listener.close)
         address = f'127.0.0.1:{listener.getsockname()[1]}'
         if not up:
             listener.close()
-        self.number += 1
-        server = tables.Server(f's{self.number}', 'orders', address, 'd', 2,
-                               False, 0.0, 0.0)
+        self.server_count += 1
+        server = tables.Server(f's{self.server_count}', 'orders', address, 'd',
+                               2, False, 0.0, 0.0)
         self._publish(server)
         pool = connections.Pool(address, _RULES, self.time.clock())
         self.addCleanup(pool.close)
@@ -79,19 +79,19 @@
                 server.id: server
             }}, {}, {}, {})
 
-    def _lose(self, request: requests.Request, server: tables.Server,
-              pool: connections.Pool) -> None:
-        """Has a request be sent, and its connection be lost."""
+    def _lose_request(self, request: requests.Request, server: tables.Server,
+                      pool: connections.Pool) -> None:
+        """Sends a request and reports its connection as lost."""
         run = requests.Run(request, _ROUTE, _SERVICE, 0.0)
         run.sent_at = self.time.at
         self.time.advance(5.0)
         suspects.note_lost_request(self.forwarder, run, server, pool, False)
 
-    def _answer(self,
-                request: requests.Request,
-                server: tables.Server,
-                opened_at: float,
-                sent_at: float | None = None) -> None:
+    def _answer_request(self,
+                        request: requests.Request,
+                        server: tables.Server,
+                        opened_at: float,
+                        sent_at: float | None = None) -> None:
         run = requests.Run(request, _ROUTE, _SERVICE, 0.0)
         run.sent_at = self.time.at - 1.0 if sent_at is None else sent_at
         state = self.forwarder.states.get(server.id)
@@ -99,201 +99,202 @@
             state.answered_at = self.time.at
         suspects.note_answer(self.forwarder, run, server, opened_at, True)
 
-    def _crash(self, *wanted: requests.Request) -> tables.Server:
-        """Has a server crash under requests; returns the server."""
-        server, pool = self._start_server(False)
-        for request in wanted:
-            self._lose(request, server, pool)
+    def _crash_server(self, *lost_requests: requests.Request) -> tables.Server:
+        """Returns a server that has crashed with requests in flight."""
+        server, pool = self._add_server(False)
+        for request in lost_requests:
+            self._lose_request(request, server, pool)
         return server
 
-    def _check(self, request: requests.Request = _BAD) -> quarantine.Verdict:
+    def _check(self,
+               request: requests.Request = _CRASHING) -> quarantine.Verdict:
         return suspects.check(self.forwarder, request)
 
-    def _count(self, request: requests.Request = _BAD) -> int:
-        """Returns how many crashes are held against a request."""
+    def _count_crashes(self, request: requests.Request = _CRASHING) -> int:
+        """Returns the number of crashes recorded for a request."""
         suspect = self.forwarder.suspects.suspects.get(
             suspects.make_fingerprint(request))
         return len(suspect.crashes) if suspect else 0
 
 
 class CrashTest(SuspectsCase):
-    """What shows that a server has crashed."""
+    """Which observations prove that a server has crashed."""
 
     def test_a_server_that_refuses_connections_has_crashed(self):
-        self._crash(_BAD)
-        self.assertEqual(self._count(), 1)
-
-    def test_what_is_lost_later_on_a_crashed_server_counts_too(self):
-        server, pool = self._start_server(False)
-        self._lose(_BAD, server, pool)
-        self._lose(_SOUND, server, pool)
-        self.assertEqual(self._count(_SOUND), 1)
-
-    def test_a_server_that_accepts_connections_may_live(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
-        self.assertEqual(self._count(), 0)
+        self._crash_server(_CRASHING)
+        self.assertEqual(self._count_crashes(), 1)
+
+    def test_a_request_lost_after_the_crash_is_a_suspect_too(self):
+        server, pool = self._add_server(False)
+        self._lose_request(_CRASHING, server, pool)
+        self._lose_request(_HARMLESS, server, pool)
+        self.assertEqual(self._count_crashes(_HARMLESS), 1)
+
+    def test_a_server_that_accepts_connections_has_not_crashed(self):
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
+        self.assertEqual(self._count_crashes(), 0)
         self.assertEqual(self.forwarder.suspects.server_crashes, {})
 
-    def test_a_restart_that_nobody_noticed_is_a_crash(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
+    def test_an_unexpected_restart_is_a_crash(self):
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
         suspects.note_process_replaced(self.forwarder, server)
-        self.assertEqual(self._count(), 1)
+        self.assertEqual(self._count_crashes(), 1)
 
-    def test_a_silent_server_whose_registration_runs_out_has_crashed(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
+    def test_an_unresponsive_server_whose_registration_ends_has_crashed(self):
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
         suspects.note_unlisted(self.forwarder, server)
-        self.assertEqual(self._count(), 1)
+        self.assertEqual(self._count_crashes(), 1)
 
-    def test_one_that_was_unlisted_while_it_worked_has_crashed(self):
-        # A request may run for longer than a registration lasts.
-        server, pool = self._start_server(True)
-        run = requests.Run(_BAD, _ROUTE, _SERVICE, 0.0)
+    def test_a_server_unlisted_during_a_request_has_crashed(self):
+        # A request can run for longer than a registration lasts.
+        server, pool = self._add_server(True)
+        run = requests.Run(_CRASHING, _ROUTE, _SERVICE, 0.0)
         run.sent_at = self.time.at
         self.time.advance(5_000.0)
         self._publish(
             dataclasses.replace(server, unlisted_at=self.time.at - 2_000.0))
         suspects.note_lost_request(self.forwarder, run, server, pool, False)
-        self.assertEqual(self._count(), 1)
+        self.assertEqual(self._count_crashes(), 1)
 
     def test_an_answer_over_an_older_connection_clears_the_loss(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
         self.time.advance(300.0)
-        self._answer(_SOUND, server, 99_000.0)
+        self._answer_request(_HARMLESS, server, 99_000.0)
         suspects.note_unlisted(self.forwarder, server)
         suspects.note_process_replaced(self.forwarder, server)
-        self.assertEqual(self._count(), 0)
+        self.assertEqual(self._count_crashes(), 0)
 
-    def test_an_answer_that_was_under_way_at_the_crash_proves_nothing(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
-        self._answer(_SOUND, server, 99_000.0, self.time.at - 10.0)
+    def test_an_answer_sent_before_the_crash_clears_nothing(self):
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
+        self._answer_request(_HARMLESS, server, 99_000.0, self.time.at - 10.0)
         suspects.note_process_replaced(self.forwarder, server)
-        self.assertEqual(self._count(), 1)
-        self._answer(_SOUND, server, 99_000.0, self.time.at - 10.0)
-        self.assertEqual(self._count(), 1)
+        self.assertEqual(self._count_crashes(), 1)
+        self._answer_request(_HARMLESS, server, 99_000.0, self.time.at - 10.0)
+        self.assertEqual(self._count_crashes(), 1)
 
     def test_a_later_answer_takes_a_crash_back(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
         suspects.note_unlisted(self.forwarder, server)
         self.time.advance(2_000.0)
-        self._answer(_SOUND, server, 99_000.0)
-        self.assertEqual(self._count(), 0)
+        self._answer_request(_HARMLESS, server, 99_000.0)
+        self.assertEqual(self._count_crashes(), 0)
 
-    def test_an_answer_over_a_newer_connection_proves_nothing(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
+    def test_an_answer_over_a_newer_connection_clears_nothing(self):
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
         self.time.advance(300.0)
-        self._answer(_SOUND, server, self.time.at - 10.0)
+        self._answer_request(_HARMLESS, server, self.time.at - 10.0)
         suspects.note_process_replaced(self.forwarder, server)
-        self.assertEqual(self._count(), 1)
+        self.assertEqual(self._count_crashes(), 1)
 
-    def test_the_end_of_a_draining_server_is_no_crash(self):
-        server, pool = self._start_server(False)
+    def test_the_end_of_a_draining_server_is_not_a_crash(self):
+        server, pool = self._add_server(False)
         self._publish(dataclasses.replace(server, draining=True))
-        self._lose(_BAD, server, pool)
+        self._lose_request(_CRASHING, server, pool)
         suspects.note_connection_refused(self.forwarder, server)
-        self.assertEqual(self._count(), 0)
+        self.assertEqual(self._count_crashes(), 0)
         self.assertEqual(self.forwarder.suspects.server_crashes, {})
 
-    def test_another_entrys_proof_counts_for_what_was_lost_here(self):
-        server, pool = self._start_server(True)
-        self._lose(_BAD, server, pool)
+    def test_a_crash_reported_by_another_entry_counts(self):
+        server, pool = self._add_server(True)
+        self._lose_request(_CRASHING, server, pool)
         suspects.merge(self.forwarder,
                        [quarantine.Evidence(b'', 'orders', 1, 0.0, server.id)],
                        self.time.at)
-        self.assertEqual(self._count(), 1)
+        self.assertEqual(self._count_crashes(), 1)
 
 
 class BlockTest(SuspectsCase):
-    """What follows from crashes."""
+    """Blocks and trials that follow from crashes."""
 
-    def _block(self) -> None:
+    def _block_request(self) -> None:
         for _ in range(3):
-            self._crash(_BAD)
+            self._crash_server(_CRASHING)
             self.time.advance(1_000.0)
 
-    def test_three_crashes_block_for_as_long_as_it_comes(self):
-        self._block()
+    def test_three_crashes_block_a_repeated_request(self):
+        self._block_request()
         for _ in range(59):
             self.assertIs(self._check(), _BLOCKED)
             self.time.advance(10_000.0)
             suspects.step(self.forwarder)
 
-    def test_servers_that_are_lost_together_count_once(self):
+    def test_servers_lost_together_count_as_one_crash(self):
         for _ in range(6):
-            self._crash(_SOUND)
-        self.assertIs(self._check(_SOUND), _CLEAR)
+            self._crash_server(_HARMLESS)
+        self.assertIs(self._check(_HARMLESS), _CLEAR)
 
-    def test_a_clean_run_anywhere_clears(self):
-        self._block()
-        clean = quarantine.Evidence(suspects.make_fingerprint(_BAD), 'orders',
-                                    0, 0.0, 's9')
+    def test_a_clean_run_reported_by_another_entry_clears(self):
+        self._block_request()
+        clean = quarantine.Evidence(suspects.make_fingerprint(_CRASHING),
+                                    'orders', 0, 0.0, 's9')
         suspects.merge(self.forwarder, [clean], self.time.at)
         self.assertIs(self._check(), _CLEAR)
 
-    def test_a_clean_run_that_is_told_first_clears_an_earlier_crash(self):
-        clean = quarantine.Evidence(suspects.make_fingerprint(_BAD), 'orders',
-                                    0, 0.0, 's9')
+    def test_a_clean_run_reported_first_clears_an_earlier_crash(self):
+        clean = quarantine.Evidence(suspects.make_fingerprint(_CRASHING),
+                                    'orders', 0, 0.0, 's9')
         crash = dataclasses.replace(clean, crashes=1, age_ms=500.0)
         suspects.merge(self.forwarder, [clean, crash], self.time.at)
-        self.assertEqual(self._count(), 0)
+        self.assertEqual(self._count_crashes(), 0)
 
-    def test_one_that_crashed_two_servers_is_not_repeated(self):
-        run = requests.Run(_BAD, _ROUTE, _SERVICE, 0.0)
-        self._crash(_BAD)
+    def test_a_request_that_crashed_two_servers_is_not_retried(self):
+        run = requests.Run(_CRASHING, _ROUTE, _SERVICE, 0.0)
+        self._crash_server(_CRASHING)
         self.assertTrue(suspects.may_retry(self.forwarder, run))
-        self._crash(_BAD)
+        self._crash_server(_CRASHING)
         self.assertFalse(suspects.may_retry(self.forwarder, run))
 
-    def test_it_is_not_tried_where_it_explains_all_crashes(self):
-        self._block()
+    def test_no_trial_if_the_request_was_involved_in_all_crashes(self):
+        self._block_request()
         self.forwarder.tries_suspects = True
         self.time.advance(60_000.0)
         self.assertIs(self._check(), _BLOCKED)
 
-    def _block_by_mistake(self) -> None:
+    def _block_harmless_request(self) -> None:
         for _ in range(3):
-            self._crash(_SOUND)
-            self._crash(_BAD)
+            self._crash_server(_HARMLESS)
+            self._crash_server(_CRASHING)
             self.time.advance(1_000.0)
         self.time.advance(suspects.TRIAL_DELAY_MS)
 
-    def test_one_entry_tries_it_once_where_others_crashed_beside_it(self):
-        self._block_by_mistake()
-        self.assertIs(self._check(_SOUND), _BLOCKED)
+    def test_one_entry_tries_once_if_other_servers_crashed_too(self):
+        self._block_harmless_request()
+        self.assertIs(self._check(_HARMLESS), _BLOCKED)
         self.forwarder.tries_suspects = True
-        self.assertIs(self._check(_SOUND), _SUSPECT)
-        self.assertTrue(suspects.begin_trial(self.forwarder, _SOUND))
-        self.assertFalse(suspects.begin_trial(self.forwarder, _SOUND))
-        self.assertIs(self._check(_SOUND), _BLOCKED)
+        self.assertIs(self._check(_HARMLESS), _SUSPECT)
+        self.assertTrue(suspects.begin_trial(self.forwarder, _HARMLESS))
+        self.assertFalse(suspects.begin_trial(self.forwarder, _HARMLESS))
+        self.assertIs(self._check(_HARMLESS), _BLOCKED)
         self.time.advance(60_000.0)
-        self.assertIs(self._check(_SOUND), _BLOCKED)
+        self.assertIs(self._check(_HARMLESS), _BLOCKED)
 
-    def test_a_crash_of_the_trial_ends_all_trials(self):
-        self._block_by_mistake()
-        self._crash(_SOUND)
+    def test_a_crash_during_the_trial_ends_all_trials(self):
+        self._block_harmless_request()
+        self._crash_server(_HARMLESS)
         self.time.advance(suspects.TRIAL_DELAY_MS)
         self.forwarder.tries_suspects = True
-        self.assertIs(self._check(_SOUND), _BLOCKED)
+        self.assertIs(self._check(_HARMLESS), _BLOCKED)
 
-    def test_it_is_free_after_a_clean_trial(self):
-        self._block_by_mistake()
+    def test_a_clean_trial_clears(self):
+        self._block_harmless_request()
         self.forwarder.tries_suspects = True
-        self.assertTrue(suspects.begin_trial(self.forwarder, _SOUND))
-        server, _ = self._start_server(True)
-        self._answer(_SOUND, server, self.time.at)
-        self.assertIs(self._check(_SOUND), _CLEAR)
+        self.assertTrue(suspects.begin_trial(self.forwarder, _HARMLESS))
+        server, _ = self._add_server(True)
+        self._answer_request(_HARMLESS, server, self.time.at)
+        self.assertIs(self._check(_HARMLESS), _CLEAR)
 
-    def test_a_crash_of_long_ago_by_a_clock_that_began_since_counts(self):
+    def test_a_crash_before_the_start_of_the_clock_counts(self):
         self.time.at = 1_000.0
         evidence = [
-            quarantine.Evidence(suspects.make_fingerprint(_BAD), 'orders', 1,
-                                age_ms, f's{age_ms}')
+            quarantine.Evidence(suspects.make_fingerprint(_CRASHING), 'orders',
+                                1, age_ms, f's{age_ms}')
             for age_ms in (5_000.0, 6_000.0, 7_000.0)
         ]
         suspects.merge(self.forwarder, evidence, self.time.at)
@@ -301,7 +302,7 @@
 
 
 class StoreTest(SuspectsCase):
-    """Blocked requests are kept in the store."""
+    """Blocked requests are written to the store and read from it."""
 
     def setUp(self):
         super().setUp()
@@ -309,7 +310,7 @@
         self.addCleanup(self.store.close)
         self.platform = platformhelp.connect_store(self.store)
         for _ in range(3):
-            self._crash(_BAD)
+            self._crash_server(_CRASHING)
             self.time.advance(1_000.0)
         self.forwarder.tries_suspects = True
         self.context = self._make_context(self.forwarder)
@@ -324,43 +325,43 @@
         context.owned.everything = self.platform.load()
         return context
 
-    def _keep(self) -> ports.Everything:
-        """Has the entry write what is due, and read it."""
+    def _update_store(self) -> ports.Everything:
+        """Has the entry write due changes; returns the stored data."""
         self.time.advance(savedsuspects.WRITE_RETRY_MS)
         self.context.owned.everything = self.platform.load()
         savedsuspects.update_store(self.context, self.time.at)
         return self.platform.load()
 
-    def test_an_entry_that_starts_alone_knows_what_is_blocked(self):
-        found = self._keep()
+    def test_an_entry_that_starts_alone_loads_blocked_requests(self):
+        stored = self._update_store()
         self.forwarder = self._make_forwarder()
         savedsuspects.merge_stored(self._make_context(self.forwarder), None,
-                                   found)
+                                   stored)
         self.assertIs(self._check(), _BLOCKED)
 
-    def test_what_a_restored_store_has_lost_is_written_again(self):
+    def test_blocks_missing_after_a_restore_are_written_again(self):
         copy = self.store.copy()
-        self._keep()
+        self._update_store()
         self.store.restore(copy)
         self.platform.load()
-        self.assertEqual(len(self._keep().suspects), 1)
+        self.assertEqual(len(self._update_store().suspects), 1)
 
     def test_only_the_first_hub_writes(self):
         self.forwarder.tries_suspects = False
-        self.assertEqual(self._keep().suspects, {})
+        self.assertEqual(self._update_store().suspects, {})
 
-    def test_what_has_been_cleared_is_deleted(self):
-        self.assertEqual(len(self._keep().suspects), 1)
+    def test_a_cleared_block_is_deleted(self):
+        self.assertEqual(len(self._update_store().suspects), 1)
         quarantine.release(self.forwarder.suspects,
-                           suspects.make_fingerprint(_BAD), 'orders',
+                           suspects.make_fingerprint(_CRASHING), 'orders',
                            self.time.at)
-        self.assertEqual(self._keep().suspects, {})
+        self.assertEqual(self._update_store().suspects, {})
 
 
 class CheckTest(SuspectsCase):
 
-    def test_a_connection_that_was_opened_to_check_is_used_again(self):
-        _, pool = self._start_server(True)
+    def test_a_connection_opened_by_a_check_is_reused(self):
+        _, pool = self._add_server(True)
         self.assertIsNone(exchange.check(pool, 100.0))
         self.assertIsNone(exchange.check(pool, 100.0))
         self.assertEqual(pool.row.opened, 2)
