--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -177,7 +177,7 @@
         self._answer_request(_HARMLESS, server, 99_000.0, self.time.at - 10.0)
         self.assertEqual(self._count_crashes(), 1)
 
-    def test_a_later_answer_takes_a_crash_back(self):
+    def test_a_later_answer_revokes_a_crash(self):
         server, pool = self._add_server(True)
         self._lose_request(_CRASHING, server, pool)
         suspects.note_unlisted(self.forwarder, server)
--- a/tests/test_platform_quarantine.py
+++ b/tests/test_platform_quarantine.py
@@ -1,4 +1,4 @@
-"""Requests that crash their servers, against entries as processes."""
+"""Tests of entry processes with requests that crash their servers."""
 
 from collections.abc import Callable
 import contextlib
@@ -13,16 +13,16 @@
 from tests import platformhelp
 
 _PATH = '/report/bad'
-# Of the platform: so many copies may crash servers so long after the third.
-_MOST_LATE = 3
-_STABLE_S = 3.0
+# The operator's requirement: at most this many crashes later than the delay
+# after the third crash.
+_MAX_LATE_CRASHES = 3
+_BLOCK_DELAY_S = 3.0
 
 
 class DeadlyRequestTest(unittest.TestCase):
-    """A request that crashes its servers comes at any entry, again and again.
+    """A request that crashes its servers is sent repeatedly to all entries.
 
-    As on the platform, at most `_MOST_LATE` copies of it may reach servers once
-    it is known.
+    At most `_MAX_LATE_CRASHES` copies of it may reach servers once it is known.
     """
 
     def setUp(self):
@@ -33,7 +33,7 @@
         self.addCleanup(self.deployment.close)
         self.statuses: list[int] = []
 
-    def _attach(self, **options) -> deadly_request.DeadlyRequest:
+    def _attach_request(self, **options) -> deadly_request.DeadlyRequest:
         deadly = deadly_request.DeadlyRequest(_PATH, **options)
         self.addCleanup(deadly.close)
         deadly.attach(self.deployment.orders)
@@ -44,51 +44,51 @@
             return entry.call(path, request_id=uuid.uuid4().hex[:16])[0]
         return 0
 
-    def _send_often(self,
-                    seconds: float,
-                    gap_s: float,
-                    each: Callable[[], None] = lambda: None) -> None:
-        """Sends the request to the entries in turn."""
+    def _send_repeatedly(self,
+                         seconds: float,
+                         pause_s: float,
+                         after_each: Callable[[], None] = lambda: None) -> None:
+        """Sends the request to the entries in turn, with a pause after each."""
         until = time.monotonic() + seconds
         for turn in itertools.count():
             if time.monotonic() >= until:
                 return
             entries = self.deployment.entries
             self.statuses.append(self._send(entries[turn % len(entries)]))
-            each()
-            time.sleep(gap_s)
+            after_each()
+            time.sleep(pause_s)
 
-    def _assert_stopped(self, deadly: deadly_request.DeadlyRequest) -> None:
+    def _assert_blocked(self, deadly: deadly_request.DeadlyRequest) -> None:
         self.assertGreaterEqual(len(deadly.crashes), 3)
-        late = deadly.find_late(_STABLE_S)
-        began = deadly.crashes[0]
+        late = deadly.find_late(_BLOCK_DELAY_S)
+        first_crash_at = deadly.crashes[0]
         self.assertLessEqual(
-            len(late), _MOST_LATE,
-            [round(at - began, 1) for at in sorted(deadly.crashes)])
+            len(late), _MAX_LATE_CRASHES,
+            [round(at - first_crash_at, 1) for at in sorted(deadly.crashes)])
 
-    def test_it_stops_where_nothing_else_is_sent(self):
-        deadly = self._attach()
-        self._send_often(14.0, 0.7)
-        self._assert_stopped(deadly)
+    def test_blocked_without_other_requests(self):
+        deadly = self._attach_request()
+        self._send_repeatedly(14.0, 0.7)
+        self._assert_blocked(deadly)
         self.assertEqual(self.statuses[-3:], [503] * 3)
 
-    def test_it_stops_where_it_comes_seldom(self):
-        deadly = self._attach()
-        self._send_often(22.0, 3.0)
-        self._assert_stopped(deadly)
+    def test_blocked_if_sent_rarely(self):
+        deadly = self._attach_request()
+        self._send_repeatedly(22.0, 3.0)
+        self._assert_blocked(deadly)
 
-    def test_it_stops_where_servers_fall_silent(self):
-        deadly = self._attach(silent=True)
-        self._send_often(16.0, 0.7)
-        self._assert_stopped(deadly)
+    def test_blocked_if_servers_stop_answering(self):
+        deadly = self._attach_request(silent=True)
+        self._send_repeatedly(16.0, 0.7)
+        self._assert_blocked(deadly)
 
-    def test_it_stops_where_machines_lose_power(self):
-        deadly = self._attach(powerless=True, away_s=4.0, listed_s=2.6)
-        self._send_often(16.0, 0.7)
-        self._assert_stopped(deadly)
+    def test_blocked_if_machines_lose_power(self):
+        deadly = self._attach_request(powerless=True, away_s=4.0, listed_s=2.6)
+        self._send_repeatedly(16.0, 0.7)
+        self._assert_blocked(deadly)
 
-    def test_it_stops_where_the_coordinator_is_killed(self):
-        deadly = self._attach()
+    def test_blocked_if_the_coordinator_is_killed(self):
+        deadly = self._attach_request()
 
         def kill_leader() -> None:
             if len(deadly.crashes) < 3 or self.deployment.ended:
@@ -98,13 +98,13 @@
             self.deployment.ended.append(leader)
             leader.close()
 
-        self._send_often(14.0, 0.7, kill_leader)
+        self._send_repeatedly(14.0, 0.7, kill_leader)
         self.assertEqual(len(self.deployment.entries), 2)
-        self._assert_stopped(deadly)
+        self._assert_blocked(deadly)
 
-    def test_it_stays_stopped_where_all_entries_start_again(self):
-        deadly = self._attach()
-        self._send_often(6.0, 0.3)
+    def test_stays_blocked_after_all_entries_restart(self):
+        deadly = self._attach_request()
+        self._send_repeatedly(6.0, 0.3)
         crashed = len(deadly.crashes)
         for entry in self.deployment.entries:
             entry.process.kill()
@@ -115,40 +115,40 @@
         ]
         for entry in self.deployment.entries:
             entry.await_ready()
-        self._send_often(4.0, 0.3)
+        self._send_repeatedly(4.0, 0.3)
         self.assertEqual(len(deadly.crashes), crashed)
 
-    def test_a_frequent_sound_request_is_served_beside_it(self):
+    def test_a_frequent_harmless_request_is_served(self):
         for server in self.deployment.orders:
             server.work_s = 0.05
-        deadly = self._attach()
+        deadly = self._attach_request()
         stopped = threading.Event()
-        sound: list[tuple[float, int]] = []
+        harmless_results: list[tuple[float, int]] = []
 
-        def send_sound(number: int) -> None:
+        def send_harmless(number: int) -> None:
             while not stopped.is_set():
                 status = self._send(self.deployment.entries[number],
                                     '/report/sound')
-                sound.append((time.monotonic(), status))
+                harmless_results.append((time.monotonic(), status))
                 time.sleep(0.02)
 
         threads = [
-            threading.Thread(target=send_sound, args=(number,))
+            threading.Thread(target=send_harmless, args=(number,))
             for number in range(3)
         ]
         for thread in threads:
             thread.start()
-        self._send_often(14.0, 0.7)
+        self._send_repeatedly(14.0, 0.7)
         stopped.set()
         for thread in threads:
             thread.join()
-        self._assert_stopped(deadly)
-        calm = [
-            status for at, status in sound
-            if at > max(deadly.crashes) + _STABLE_S
+        self._assert_blocked(deadly)
+        statuses = [
+            status for at, status in harmless_results
+            if at > max(deadly.crashes) + _BLOCK_DELAY_S
         ]
-        self.assertGreater(len(calm), 100)
-        self.assertGreaterEqual(calm.count(200), 0.98 * len(calm))
+        self.assertGreater(len(statuses), 100)
+        self.assertGreaterEqual(statuses.count(200), 0.98 * len(statuses))
 
 
 if __name__ == '__main__':
