--- a/tests/orderworlds.py
+++ b/tests/orderworlds.py
@@ -857,8 +857,9 @@
     return new
 
 
-_TABLES = ('held', 'tokens', 'sent', 'proven', 'unreleased', 'answered',
-           'probed', 'loose')
+_TABLES = ('server_holds', 'handover_tokens', 'grants_in_flight', 'responsive',
+           'release_suspended', 'answered_at', 'probes_in_flight',
+           'pending_regrants')
 _PLAIN = [
     item.name
     for item in dataclasses.fields(ownership.Coordination)
