--- a/lentilmoor/edge/keyranges.py
+++ b/lentilmoor/edge/keyranges.py
@@ -1,8 +1,8 @@
-"""Owners of key ranges: the assignment of one keyed service.
+"""Key ranges and their owners: the assignment of one keyed service.
 
-An assignment covers keys 0 to `tables.KEYS` - 1 by ranges that don't overlap.
-Each range carries the fence under which it was last granted. Whatever changes
-hands gets a fence above all that were ever used for the service.
+An assignment covers keys 0 to `tables.KEYS` - 1 with ranges that don't overlap.
+Each range carries its fencing token, in short its fence. A range whose owner
+changes gets a fence above all that were ever used for the service.
 """
 
 import bisect
@@ -22,14 +22,14 @@
 class KeyRange(msgspec.Struct, frozen=True, array_like=True):
     """A range of keys and its owner.
 
-    Coordinators make thousands of them a second and send them to every entry;
-    as an array one takes 40 bytes in place of 75.
+    Coordinators create thousands of ranges a second and send them to every
+    entry. Encoded as an array, a range takes 40 bytes instead of 75.
 
     Attributes:
       first: First key.
       last: Last key, included.
       server: Id of the owner.
-      fence: The number under which it was granted.
+      fence: Fencing token under which the range is granted.
     """
 
     first: int
@@ -44,16 +44,16 @@
 
     Attributes:
       service: Name of the service.
-      term: Grows with each change of the coordinator.
-      next_fence: Above every fence used so far.
-      ranges: Sorted by key.
-      works: Mean time of work by server id, ms: what a successor would have to
-        learn anew.
-      addresses: Addresses of owners, by server id: one may leave the list while
-        it still holds keys.
-      author: Instance id of the coordinator that made it.
-      era: The store's era in which it was saved (see `revisions`). What was
-        saved after it in an earlier era may be lost.
+      term: Increases with each change of the coordinator.
+      next_fence: Next fencing token, above all used so far.
+      ranges: Ranges sorted by key.
+      works: Mean execution time of requests by server id, ms, so that a
+        successor needn't measure it again.
+      addresses: Addresses of owners by server id. A registration may expire
+        while the server still holds keys.
+      author: Instance id of the coordinator that created the assignment.
+      era: The store's era in which it was saved (see `revisions`). Assignments
+        that were saved after it in an earlier era may be lost.
     """
 
     service: str
@@ -69,12 +69,17 @@
 
 
 def find_owner(assignment: Assignment, key: int) -> KeyRange | None:
-    """Returns the range that holds a key, or None if it has no owner."""
+    """Returns the range that contains a key, or None if it has no owner."""
     return find_range(assignment.ranges, key)
 
 
 def find_range(ranges: Sequence[KeyRange], key: int) -> KeyRange | None:
-    """Returns which of sorted ranges holds a key, or None."""
+    """Returns the range that contains a key, or None.
+
+    Args:
+      ranges: Ranges sorted by key.
+      key: The key.
+    """
     index = bisect.bisect_right(ranges, key, key=lambda item: item.first) - 1
     if index < 0:
         return None
@@ -83,37 +88,43 @@
 
 
 def is_newer(one: Assignment, other: Assignment) -> bool:
-    """Returns whether an assignment follows another of the same service."""
-    return _find_order(one) > _find_order(other)
+    """Returns whether an assignment is newer than another of its service."""
+    return _make_sort_key(one) > _make_sort_key(other)
 
 
 def is_later_term(one: Assignment, other: Assignment) -> bool:
-    """Returns whether another coordinator made an assignment, later."""
+    """Returns whether an assignment is from a later coordinator."""
     return (one.era, one.term) > (other.era, other.term)
 
 
 def find_newest(assignments: Iterable[Assignment | None]) -> Assignment | None:
     """Returns the newest of a service's assignments; None if there is none."""
     known = [item for item in assignments if item is not None]
-    return max(known, key=_find_order, default=None)
+    return max(known, key=_make_sort_key, default=None)
 
 
 def find_first_fence(era: int) -> int:
-    """Returns the first fence of an era of the store.
+    """Returns the first fencing token of an era of the store.
 
-    What was saved last in an earlier era may be lost, and with it which fences
-    were used; those of a new era are above them all.
+    The last saves of an earlier era may be lost, and with them the record of
+    the tokens used. Those of a new era are above them all.
     """
     return era * _FENCES_PER_ERA + 1
 
 
-def _find_order(assignment: Assignment) -> tuple[int, int, int]:
+def _make_sort_key(assignment: Assignment) -> tuple[int, int, int]:
     return assignment.era, assignment.term, assignment.next_fence
 
 
 def divide_by_weight(servers: Iterable[str], weights: dict[str, float],
                      fence: int) -> tuple[KeyRange, ...]:
-    """Divides all keys into one range for each server, by weight."""
+    """Returns one range per server that together cover all keys.
+
+    Args:
+      servers: Ids of the servers.
+      weights: Relative share of the keys by server id; 1 if missing.
+      fence: Fencing token of the ranges.
+    """
     names = sorted(servers)
     total = sum(weights.get(name, 1.0) for name in names)
     ranges = []
@@ -129,16 +140,16 @@
 
 def reassign(ranges: Iterable[KeyRange],
              changed: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
-    """Lays changed ranges over others, cutting these where they overlap."""
+    """Returns ranges with changed ones put in place of what they overlap."""
     new = sorted(changed, key=lambda item: item.first)
     kept = []
     for item in ranges:
-        kept.extend(_cut(item, new))
+        kept.extend(_subtract(item, new))
     return merge_adjacent(sorted(kept + new, key=lambda item: item.first))
 
 
 def merge_adjacent(ranges: Iterable[KeyRange]) -> tuple[KeyRange, ...]:
-    """Joins neighbours with the same owner and fence."""
+    """Merges adjacent ranges with the same owner and fencing token."""
     merged: list[KeyRange] = []
     for item in ranges:
         before = merged[-1] if merged else None
@@ -153,47 +164,47 @@
 def merge_under_new_fences(
         ranges: Iterable[KeyRange], fence: int,
         kept: Iterable[tuple[int, int]]) -> tuple[tuple[KeyRange, ...], int]:
-    """Joins neighbours with the same owner under new fences.
+    """Merges adjacent ranges with the same owner under new fencing tokens.
 
-    Each range is renewed by a call of its own; hot keys that moved would leave
-    ever more of them.
+    Each range is renewed by a call of its own, and moves of hot keys would
+    otherwise increase the number of ranges without limit.
 
     Args:
-      ranges: Sorted by key.
-      fence: Above every fence used so far.
-      kept: First and last keys of ranges that are to stay as they are.
+      ranges: Ranges sorted by key.
+      fence: Next fencing token, above all used so far.
+      kept: First and last keys of ranges that must remain unchanged.
 
     Returns:
-      The ranges, and the next fence.
+      The ranges, and the next fencing token.
     """
     fixed = set(kept)
     joined: list[KeyRange] = []
-    fresh = False
+    extends_merged = False
     for item in ranges:
         before = joined[-1] if joined else None
         if (before and before.last + 1 == item.first and
                 before.server == item.server and
             (item.first, item.last) not in fixed and
             (before.first, before.last) not in fixed):
-            fence += not fresh
+            fence += not extends_merged
             joined[-1] = structs.replace(before,
                                          last=item.last,
                                          fence=fence - 1)
-            fresh = True
+            extends_merged = True
         else:
             joined.append(item)
-            fresh = False
+            extends_merged = False
     return tuple(joined), fence
 
 
 def overlaps(item, first: int, last: int) -> bool:
-    """Returns whether what has a first and a last key meets other keys."""
+    """Returns whether an item with `first` and `last` overlaps other keys."""
     return item.first <= last and item.last >= first
 
 
 def intersect(ranges: Iterable[KeyRange], first: int,
               last: int) -> list[KeyRange]:
-    """Returns what ranges hold of the keys from first to last."""
+    """Returns the parts of ranges that lie within first to last, included."""
     return [
         structs.replace(item,
                         first=max(item.first, first),
@@ -203,10 +214,10 @@
     ]
 
 
-def _cut(item: KeyRange, holes: list[KeyRange]) -> list[KeyRange]:
+def _subtract(item: KeyRange, gaps: list[KeyRange]) -> list[KeyRange]:
     pieces = []
     first = item.first
-    for hole in holes:
+    for hole in gaps:
         if hole.last < first or hole.first > item.last:
             continue
         if hole.first > first:
--- a/lentilmoor/edge/ownership.py
+++ b/lentilmoor/edge/ownership.py
@@ -1,6 +1,7 @@
-"""What the coordinator of a keyed service knows, and what it has done.
+"""State of the coordinator of a keyed service.
 
-The tables that `coordination` keeps, and questions about them.
+Defines the state that `coordination` keeps, the actions that it plans, and
+queries on both.
 """
 
 from collections.abc import Iterable
@@ -14,46 +15,46 @@
 from lentilmoor.edge import rebalancing
 from lentilmoor.edge import tables
 
-# The coordinator's lease. Its successor takes over after the lease has run
-# out, which must leave time to renew grants before they run out in turn.
+# A successor takes over when the coordinator's lease has expired. It must then
+# still have time to renew grants before they expire too.
 COORDINATOR_LEASE_MS = 1_500.0
-# How long a server holds keys without a renewal. Keys of a server that went
-# silent stay unserved for so long; a coordinator that is lost must be
-# replaced within what a renewal leaves of it.
+# How long a server may serve keys without a renewal. Keys of a server that
+# stops answering remain unserved for this time. A failed coordinator must be
+# replaced within what is left of a hold when its renewal is due.
 HOLD_MS = 3_000.0
-# A hold is renewed when this part of it has passed.
+# A hold is renewed when this fraction of it has passed.
 RENEW_FRACTION = 0.25
-# Shortest hold that is granted: a few times the way to a server and back.
+# A few times the round trip to a server, so that a hold can be renewed.
 MIN_HOLD_MS = 200.0
-# Time limit of a grant; a server that is up answers at once. After it the
-# connection is reset, so that the grant can't arrive any more.
+# A server that is up answers at once. After this time the connection is reset,
+# so that the grant can no longer arrive.
 GRANT_TIMEOUT_MS = 400.0
-# Time limit for getting a free connection, before that of the grant.
+# Time limit for getting a free connection. It precedes `GRANT_TIMEOUT_MS`.
 POOL_TIMEOUT_MS = 400.0
-# Keys whose grant got no answer are granted again after this.
+# Delay before keys whose grant got no answer are granted again.
 GRANT_RETRY_MS = 300.0
-# A coordinator that can't reach the store goes on renewing for so long, so
-# that keys stay served through the store's outages, the longest of which took
-# 9 s. A successor counts with it for servers that it can't reach.
+# How long a coordinator that can't reach the store continues to renew grants.
+# The longest known outage of the store took 9 s; keys remain served throughout.
+# For servers that it can't reach, a successor assumes renewals for this long.
 MAX_OFFLINE_MS = 12_000.0
-# A save that failed is tried again after this.
+# Delay before a failed save is retried.
 SAVE_RETRY_MS = 300.0
-# Servers that don't answer are tried again this often.
+# Interval between probes of servers that don't answer.
 PROBE_INTERVAL_MS = 1_000.0
-# A grant that could not be sent for so long after it was decided is dropped.
+# A grant that could not be sent within this time of its planning is dropped.
 MAX_GRANT_AGE_MS = 500.0
-# Fences that a coordinator may use beyond the saved ones, so that a new fence
-# needs no save. Its successor begins above them.
+# A coordinator may use this many fencing tokens above the saved ones, so that a
+# new one needs no save. Its successor starts above them.
 MAX_UNSAVED_FENCES = 100_000
-# Pause between two plans that even out load.
+# Pause between two rebalancing plans.
 REBALANCE_PAUSE_MS = 500.0
-# A server that leaves the list while the store was away may come back for so
-# long after its return.
+# A server whose registration expires during an outage of the store may register
+# again within this time of the store's recovery.
 RETURN_GRACE_MS = 2_500.0
 
 
 class Phase(enum.Enum):
-    """How far a move of keys has come."""
+    """Phase of a move: release planned, in flight, waiting, being saved."""
 
     RELEASE = 'release'
     RELEASING = 'releasing'
@@ -63,17 +64,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """Grant keys to a server, or renew them.
+    """Action: grant keys to a server, or renew its grant.
 
     Attributes:
       service: Name of the service.
-      server: The server.
-      item: The keys, as assigned.
-      fence: The number to grant them under.
-      hold_ms: How long it is to hold them.
-      token: What their last holder handed over; empty if nothing.
-      planned_at: When it was decided, ms. It is not to be sent much later.
-      link: The only connection that may carry it; None if any may.
+      server: The server that receives the grant.
+      key_range: The keys, as assigned.
+      fence: Fencing token of the grant.
+      hold_ms: How long the server may serve the keys, ms.
+      handover_token: Token that the previous owner returned at the release;
+        empty if there is none.
+      planned_at: When the grant was planned, ms. It is dropped if it isn't sent
+        within `MAX_GRANT_AGE_MS`.
+      link: Number of the only connection that may carry it; None for any.
     """
 
     service: str
@@ -88,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Release:
-    """Take keys back from a server."""
+    """Action: withdraw keys from a server."""
 
     service: str
     server: tables.Server
@@ -97,7 +100,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Save:
-    """Write an assignment over the revision that it follows."""
+    """Action: save an assignment if the store still holds `revision`."""
 
     service: str
     assignment: keyranges.Assignment
@@ -106,7 +109,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Probe:
-    """Ask a server that didn't answer whether it does again."""
+    """Action: check whether an unresponsive server answers again."""
 
     service: str
     server: tables.Server
@@ -116,14 +119,14 @@
 
 
 class CallOutcome(enum.Enum):
-    """What came of a grant, a release or a probe.
+    """Outcome of a grant, a release or a probe.
 
-    DONE: carried out.
-    REFUSED: the server has seen a higher fence.
-    DECLINED: answered, and not carried out.
+    DONE: executed.
+    REFUSED: the server has seen a higher fencing token.
+    DECLINED: answered, but not executed.
     NOT_SENT: nothing was sent.
-    UNLINKED: not sent, as the connection that the grant is bound to has ended.
-    UNKNOWN: no answer; it may have been carried out.
+    UNLINKED: not sent, as the connection that the grant is bound to is closed.
+    UNKNOWN: no answer; it may have been executed.
     """
 
     DONE = 'done'
@@ -136,11 +139,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class GrantResult:
-    """What came of a grant.
+    """Result of a grant.
 
     Attributes:
-      answer: The outcome.
-      link: Number of the connection that carried it; None if none did.
+      outcome: Whether the grant was executed.
+      link: Number of the connection that carried it; None if it wasn't sent.
     """
 
     outcome: CallOutcome
@@ -149,14 +152,16 @@
 
 @dataclasses.dataclass(slots=True)
 class Move:
-    """Keys on their way from one server to another.
+    """A move in progress of keys from one server to another.
 
     Attributes:
-      transfer: Which keys, from whom, to whom.
-      phase: How far it has come.
-      began_at: When it was planned, ms.
-      token: What the source handed over; empty if nothing.
-      unsettled: Whether a save of it may have been carried out.
+      transfer: The keys, their source and their target.
+      phase: Phase of the move.
+      planned_at: When it was planned, ms.
+      handover_token: Token that the source returned at the release; empty if
+        there is none.
+      may_be_saved: Whether a save of the move failed with an unknown outcome,
+        so that the store may hold it.
     """
 
     transfer: rebalancing.Transfer
@@ -168,19 +173,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Renewal:
-    """How a range is granted.
+    """State of the periodic grants of a range.
 
-    A grant names an address, and whoever listens there takes it. So that no
-    two processes are granted keys under one fence, a fence goes over one
-    connection only; once that has ended the keys get another one.
+    A grant is sent to an address, and the process listening there accepts it.
+    To never grant keys to two processes with one fencing token, each token is
+    sent over one connection only. When that is closed, the range gets a new
+    token.
 
     Attributes:
-      fence: The number that its owner is granted it under: that of the range,
-        or a higher one.
-      link: The connection that has carried this fence; None if none has.
-      due_at: When to grant it again, ms.
-      pending: Whether a grant is under way.
-      answered: Whether its owner has answered.
+      fence: Fencing token of the grants: that of the range, or a higher one.
+      link: Number of the connection that carried this token; None if none has.
+      due_at: When to send the next grant, ms.
+      pending: Whether a grant is in flight.
+      owner_answered: Whether the owner has answered a grant.
     """
 
     fence: int
@@ -195,34 +200,37 @@
     """State of the coordinator of one keyed service.
 
     Attributes:
-      assignment: Who owns what, as saved.
-      revision: The store's revision of it.
-      since: From when on this entry may grant keys, ms.
-      next_fence: Above every fence used so far, saved or not.
-      hold_ms: How long servers hold keys without a renewal.
-      held: What servers may hold.
-      renewals: By range.
-      tokens: Hand-over tokens of ranges that were not granted yet.
-      moves: Keys on their way.
-      saving: Whether a save is under way.
-      save_at: No save is tried before, ms.
-      predecessor: Instance id of the coordinator before; empty if none.
+      assignment: The owners of the service's keys, as last saved.
+      revision: Store revision of the saved assignment.
+      active_since: Time from which this entry may grant keys, ms.
+      next_fence: Next fencing token, above all used so far, saved or not.
+      hold_ms: How long servers may serve keys without a renewal, ms.
+      server_holds: Keys that servers may still hold.
+      renewals: State of the periodic grants, by range.
+      handover_tokens: Handover tokens of ranges that were not granted yet.
+      moves: Moves in progress.
+      saving: Whether a save is in flight.
+      next_save_at: Earliest time of the next save, ms.
+      predecessor: Instance id of the previous coordinator while it may still
+        renew grants; otherwise empty.
       predecessor_save_revision: Store revision of the assignment that the
-        predecessor saved last; 0 if none.
-      balanced_at: When load was last evened out, ms.
-      sent: Grants under way; what they grant is not in `held` yet.
-      proven: Servers that answered their last call.
-      unreleased: Servers that didn't answer a release: none is tried again
-        before they have answered something.
-      answered: When servers last answered a call, ms; when they were first
-        seen, for those that were not called yet.
-      probed_at: When servers that don't answer were last tried, ms.
-      probed: Servers whose probe is under way.
-      loose: Keys that could not move, as a grant without an answer may still
-        be applied after a release. Their owner is granted them once more under
-        a higher fence: from its answer on it refuses the lower one.
-      lost: Whether another coordinator was seen.
-      era: The store's era that it has taken in.
+        predecessor saved last; 0 if there is none.
+      rebalanced_at: When rebalancing was last planned, ms.
+      grants_in_flight: Ranges whose grant is in flight. `server_holds` doesn't
+        contain them yet.
+      responsive: Ids of servers that answered their last call.
+      release_suspended: Ids of servers that didn't answer a release or a probe.
+        They are sent no release until they have answered a call.
+      answered_at: When each server last answered a call, ms; if it wasn't
+        called yet, when it was first seen.
+      probed_at: When unresponsive servers were last probed, ms.
+      probes_in_flight: Ids of servers whose probe is in flight.
+      pending_regrants: Transfers that could not start, as a grant without an
+        answer may still be applied after a release. The source is granted the
+        keys again with a higher fencing token: once it has answered, it refuses
+        the lower one.
+      superseded: Whether another coordinator has taken over.
+      era: The latest era of the store that was processed.
       restored_revision: The store's revision when it was first read in that
         era; 0 if it was not restored while this entry coordinated.
     """
@@ -259,15 +267,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceView:
-    """What the coordinator sees of the servers of its service.
+    """The coordinator's view of the servers of its service.
 
     Attributes:
-      servers: By id; those that left are missing.
-      ended: Ids whose process has surely ended.
-      left: Addresses that servers were last known at, by id.
+      servers: Registered servers by id.
+      ended: Ids of servers whose process is known to have ended.
+      departed: Servers that are no longer registered, by id, as last known.
       loads: Load by key.
       capacities: Relative speed by server id; 1 if unknown.
-      works: Mean time of work by server id, ms.
+      works: Mean execution time of requests by server id, ms.
     """
 
     servers: Mapping[str, tables.Server]
@@ -279,16 +287,16 @@
 
 
 def may_open_connection(kept_at: float, now: float) -> bool:
-    """Returns whether a grant may go over a new connection.
+    """Returns whether a grant may be sent over a new connection.
 
-    A process that has just started refuses no fence yet, so it would take a
-    lower one than a successor has granted elsewhere. A grant over a new
-    connection must therefore arrive while the lease surely holds, including the
-    wait for a connection.
+    A process that has just started has seen no fencing token, so it would
+    accept a lower one than a successor has granted elsewhere. A grant over a
+    new connection must therefore arrive before the coordinator's lease can
+    expire, including the wait for a connection.
 
     Args:
       kept_at: When the last renewal of the coordinator's lease was sent, ms.
-      now: ms.
+      now: Current time, ms.
     """
     return (now - kept_at
             <= COORDINATOR_LEASE_MS - POOL_TIMEOUT_MS - GRANT_TIMEOUT_MS)
@@ -296,14 +304,16 @@
 
 def replace_fence(state: Coordination, renewal: Renewal,
                   link: int | None) -> None:
-    """Has keys granted under a fence that no connection has carried.
+    """Assigns a range a fencing token that no connection has carried.
 
-    If none is left they keep theirs, bound to the connection that carried it.
+    If none is left, the range keeps its token, bound to the connection that
+    carried it.
 
     Args:
-      state: The coordinator.
-      renewal: How the keys are granted.
-      link: The connection that carried their fence last; None if none did.
+      state: State of the coordinator.
+      renewal: State of the range's grants.
+      link: Number of the connection that carried the current token last; None
+        if none did.
     """
     if state.next_fence < state.assignment.next_fence + MAX_UNSAVED_FENCES:
         renewal.fence, renewal.link = state.next_fence, None
@@ -314,7 +324,7 @@
 
 def find_renewal(state: Coordination,
                  item: keyranges.KeyRange) -> Renewal | None:
-    """Returns how keys are granted, or the range that they are a part of."""
+    """Returns the grant state of a range or of the range that contains it."""
     found = state.renewals.get(item)
     if found is not None:
         return found
@@ -327,9 +337,10 @@
 
 def find_replacement(state: Coordination, view: ServiceView,
                      name: str) -> str | None:
-    """Returns the server at the address of one that has ended, if there is one.
+    """Returns the id of the server at the address of an ended one, or None.
 
-    What was granted between its start and the news of it reached this one.
+    Grants sent after the replacement started, but before its registration was
+    read, reached the replacement.
     """
     old = view.departed.get(name)
     address = old.address if old else state.assignment.addresses.get(name)
@@ -340,12 +351,12 @@
 
 def may_return(state: Coordination, view: ServiceView, name: str,
                now: float) -> bool:
-    """Returns whether an owner may be up although it isn't listed.
+    """Returns whether an owner may be up although it isn't registered.
 
-    Entries of servers run out while the store is away, and are back soon after
-    it. A coordinator that begins in between once saw 2 of 11 servers, and left
-    the keys of the others unserved for 15 s. It grants them their keys first:
-    who answers keeps them.
+    Registrations of servers expire during an outage of the store and are
+    renewed soon after it. A coordinator that started in between saw 2 of 11
+    servers and left the keys of the others unserved for 15 s. Such owners are
+    therefore granted their keys first, and keep them if they answer.
     """
     if (now - state.active_since >= RETURN_GRACE_MS or name in view.servers or
             name in view.ended):
@@ -357,10 +368,11 @@
 
 def awaits_first_answer(state: Coordination, item: keyranges.KeyRange,
                         now: float) -> bool:
-    """Returns whether an owner is yet to answer this coordinator.
+    """Returns whether an owner has not yet answered this coordinator.
 
-    What an earlier coordinator granted ends for sure only with an answer under
-    a higher fence: without it a release saves none of the 15 s of waiting.
+    A grant of an earlier coordinator is known to be replaced only when the
+    server has answered a higher fencing token. Before that, a release doesn't
+    shorten the wait of 15 s.
     """
     return now - state.active_since < RETURN_GRACE_MS and any(
         hold.server == item.server and not hold.acknowledged and hold.fence <
@@ -369,29 +381,29 @@
 
 
 def has_timed_out(state: Coordination, name: str, now: float) -> bool:
-    """Returns whether a server has not answered for as long as a hold."""
+    """Returns whether a server has not answered for longer than a hold."""
     return now - state.answered_at.get(name, now) > state.hold_ms
 
 
 def list_unmoved_ranges(state: Coordination) -> list[keyranges.KeyRange]:
-    """Returns the assignment less what is on its way already."""
+    """Returns the assigned ranges without the keys that are being moved."""
     return subtract_moves(state.assignment.ranges, state.moves)
 
 
 def subtract_moves(ranges: Iterable[keyranges.KeyRange],
                    moves: Iterable[Move]) -> list[keyranges.KeyRange]:
-    """Returns ranges less the keys of moves."""
-    marks = [
+    """Returns ranges without the keys of moves."""
+    moving = [
         keyranges.KeyRange(move.transfer.first, move.transfer.last, '', -1)
         for move in moves
     ]
-    laid = keyranges.reassign(ranges, marks)
-    return [item for item in laid if item.server]
+    remaining = keyranges.reassign(ranges, moving)
+    return [item for item in remaining if item.server]
 
 
 def has_grant_in_flight(state: Coordination,
                         transfer: rebalancing.Transfer) -> bool:
-    """Returns whether a grant of keys that are to move may still arrive."""
+    """Returns whether a grant of keys of a transfer may still arrive."""
     return any(item.server == transfer.source and
                keyranges.overlaps(item, transfer.first, transfer.last)
                for item in state.grants_in_flight)
@@ -399,7 +411,7 @@
 
 def find_server(state: Coordination, view: ServiceView,
                 name: str) -> tables.Server | None:
-    """Returns a server as it is listed, or as it was last known."""
+    """Returns a server as registered, or else as last known."""
     server = view.servers.get(name) or view.departed.get(name)
     address = state.assignment.addresses.get(name)
     if server is None and address:
