--- a/lentilmoor/edge/coordination.py
+++ b/lentilmoor/edge/coordination.py
@@ -1,17 +1,17 @@
 """The coordinator's decisions: who is granted which keys, and when.
 
-One entry coordinates a keyed service at a time. It renews what servers hold,
-moves keys off servers that leave or fail, and evens out load. It decides
-without doing I/O: `plan` returns what to call, the `note_` functions take in
-what came of it.
-
-No two servers hold a key at once. A key goes to another server only after the
-one that held it answered a release, or after its hold has surely run out; at
-once only to the process that has followed it at its address. A new coordinator
-grants everything once more under a fence above all earlier ones: a server that
-answers this refuses whatever an earlier coordinator may still send. For servers
-that don't answer, it waits until an earlier coordinator can't have renewed
-their keys any more.
+One entry coordinates a keyed service at a time. It renews the grants of the
+servers, moves keys off servers that leave or fail, and balances load. It does
+no I/O: `plan_actions` returns the calls to make, and the `handle_` functions
+process their results.
+
+No two servers hold a key at the same time. A key is granted to another server
+only after its holder has answered a release, or after the hold must have
+expired; without a wait only to the process that replaced the holder at its
+address. A new coordinator grants all keys again under a fencing token above all
+earlier ones. A server that has answered such a grant refuses any that an
+earlier coordinator may still send. For servers that don't answer, the
+coordinator waits until no renewal by an earlier coordinator can be in force.
 """
 
 from collections.abc import Iterable
@@ -28,7 +28,7 @@
 from lentilmoor.edge import revisions
 from lentilmoor.edge import tables
 
-# Stands for whichever servers may hold keys by grants that aren't known.
+# Placeholder id of servers that may hold keys by unknown grants.
 _UNKNOWN_SERVER = ''
 
 
@@ -36,7 +36,14 @@
                           servers: Mapping[str, tables.Server],
                           author: str = '',
                           era: int = 0) -> keyranges.Assignment:
-    """Returns the assignment of a service that never had one."""
+    """Returns the first assignment of a service.
+
+    Args:
+      service: Name of the service.
+      servers: The service's servers, by id.
+      author: Instance id of the coordinator.
+      era: The store's era.
+    """
     ready = [item.id for item in servers.values() if not item.draining]
     fence = keyranges.find_first_fence(era)
     return keyranges.Assignment(
@@ -52,14 +59,14 @@
 def make_next_assignment(before: keyranges.Assignment,
                          author: str = '',
                          era: int = 0) -> keyranges.Assignment:
-    """Returns the assignment that a new coordinator begins with.
+    """Returns the assignment that a new coordinator starts with.
 
     Args:
-      before: The newest one that is known.
+      before: The newest known assignment.
       author: Instance id of the new coordinator.
       era: The store's era.
     """
-    # Its author may have used fences that were not saved.
+    # The previous coordinator may have used fencing tokens that weren't saved.
     fence = max(before.next_fence + ownership.MAX_UNSAVED_FENCES,
                 keyranges.find_first_fence(era))
     ranges = keyranges.merge_adjacent(
@@ -74,13 +81,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Succession:
-    """What a new coordinator begins with.
+    """Initial data of a new coordinator.
 
     Attributes:
       assignment: The assignment that it saves first.
-      predecessor: Instance id of the coordinator before; None if the service
+      predecessor: Instance id of the previous coordinator; None if the service
         never had an assignment.
-      may_lack_moves: Whether keys may have moved since, unknown to it.
+      may_lack_moves: Whether the assignment may lack moves that were made after
+        it.
     """
 
     assignment: keyranges.Assignment
@@ -91,11 +99,11 @@
 def plan_succession(service: str, known: Iterable[keyranges.Assignment | None],
                     servers: Mapping[str, tables.Server], author: str,
                     era: int) -> Succession:
-    """Returns what a new coordinator begins with.
+    """Returns the initial data of a new coordinator.
 
     Args:
       service: Name of the service.
-      known: Assignments that the store or other entries told; None for none.
+      known: Assignments from the store and from other entries; None is ignored.
       servers: The service's servers, by id.
       author: Instance id of the new coordinator.
       era: The store's era.
@@ -104,11 +112,11 @@
     if before is None:
         return Succession(make_first_assignment(service, servers, author, era),
                           None, False)
-    # Only its author knows all that followed what was saved before a restore.
+    # Saves that a restore of the store undid are known only to their author.
     may_lack_moves = before.era < era and before.author != author
     following = make_next_assignment(before, author, era)
     if may_lack_moves:
-        # Its own successor may lack them too, until it has waited.
+        # Until this coordinator has waited, its successor may lack them too.
         following = dataclasses.replace(following, era=before.era)
     return Succession(following, before.author, may_lack_moves)
 
@@ -119,17 +127,17 @@
                        predecessor: str | None,
                        longest_ms: float = ownership.HOLD_MS,
                        may_lack_moves: bool = False) -> ownership.Coordination:
-    """Returns the state of a coordinator whose assignment was saved.
+    """Returns the initial state of a coordinator whose assignment was saved.
 
     Args:
-      assignment: What was saved.
-      revision: The store's revision of it.
-      now: ms.
-      predecessor: Instance id of the coordinator before; None if the service
+      assignment: The saved assignment.
+      revision: Store revision of the saved assignment.
+      now: Current time, ms.
+      predecessor: Instance id of the previous coordinator; None if the service
         never had an assignment.
-      longest_ms: Longest hold that the operator allows.
-      may_lack_moves: Whether keys may have moved since, unknown to this
-        coordinator. It waits until nobody can hold them any more.
+      longest_ms: Longest hold that the operator allows, ms.
+      may_lack_moves: Whether the assignment may lack moves that were made after
+        it. The coordinator then waits until all earlier holds have expired.
     """
     state = ownership.Coordination(assignment,
                                    revision,
@@ -144,7 +152,7 @@
                   ownership.GRANT_TIMEOUT_MS)
         until = holds.compute_expiry(latest, state.hold_ms)
         state.server_holds = [
-            # Under the fences of earlier coordinators, which are lower.
+            # Earlier coordinators granted the keys under lower fencing tokens.
             holds.Hold(item.first, item.last, item.server, item.fence - 1,
                        until, False) for item in assignment.ranges
         ]
@@ -154,9 +162,10 @@
 
 
 def _await_holds(state: ownership.Coordination, now: float) -> None:
-    """Has no key granted until all grants of others have surely ended.
+    """Delays all grants until the holds of earlier coordinators have expired.
 
-    An earlier coordinator that is up sees within a lease that it is replaced.
+    An earlier coordinator that is up detects within the duration of its lease
+    that it was replaced.
     """
     latest = (now + ownership.COORDINATOR_LEASE_MS + ownership.POOL_TIMEOUT_MS +
               ownership.GRANT_TIMEOUT_MS)
@@ -170,15 +179,16 @@
 
 def handle_store_restored(state: ownership.Coordination, revision: int,
                           saved_revision: int) -> None:
-    """Takes in that the store was restored from an older copy.
+    """Handles a restore of the store from an older copy.
 
-    What this coordinator saved last may be lost. It goes on with what it knows
-    and saves that again, under fences that the store can't have given out.
+    The last saves of this coordinator may be lost. It continues with its own
+    state and saves that again, with fencing tokens above all earlier ones.
 
     Args:
-      state: The coordinator.
+      state: State of the coordinator.
       revision: The store's revision when it was read after the restore.
-      saved_revision: The revision of the assignment there; 0 if there is none.
+      saved_revision: Revision of the assignment in the restored store; 0 if
+        there is none.
     """
     state.era = revisions.find_era(revision)
     state.restored_revision = revision
@@ -190,7 +200,7 @@
 
 
 def handle_predecessor_ended(state: ownership.Coordination, now: float) -> None:
-    """Takes in that the coordinator before can't renew anything any more."""
+    """Handles that the previous coordinator can no longer renew grants."""
     if not state.predecessor:
         return
     state.predecessor = ''
@@ -203,7 +213,13 @@
 
 def plan_actions(state: ownership.Coordination, view: ownership.ServiceView,
                  now: float) -> list[ownership.Action]:
-    """Returns what is to be done now."""
+    """Returns the actions that are due.
+
+    Args:
+      state: State of the coordinator.
+      view: The service's servers and load.
+      now: Current time, ms.
+    """
     state.server_holds = holds.drop_expired(state.server_holds, now)
     for server in view.ended:
         replacement = ownership.find_replacement(state, view, server)
@@ -224,35 +240,36 @@
 def handle_grant_result(state: ownership.Coordination, grant: ownership.Grant,
                         granted: ownership.GrantResult, sent_at: float,
                         now: float) -> None:
-    """Takes in what came of a grant.
+    """Handles the result of a grant.
 
     Args:
-      state: The coordinator.
-      grant: What was sent.
-      granted: What came of it.
+      state: State of the coordinator.
+      grant: The grant.
+      granted: Its result.
       sent_at: When it was sent, ms.
-      now: When it was answered or given up, ms; it can't arrive any more.
+      now: When it was answered or timed out, ms. It can't arrive later.
     """
     item, answer = grant.key_range, granted.outcome
     state.grants_in_flight.remove(item)
     if answer is ownership.CallOutcome.DONE:
-        _note_answering(state, item.server, sent_at)
+        _record_answer(state, item.server, sent_at)
     else:
         state.responsive.discard(item.server)
     if answer in (ownership.CallOutcome.DONE, ownership.CallOutcome.UNKNOWN):
-        _note_hold(state, grant, answer is ownership.CallOutcome.DONE, now)
+        _record_hold(state, grant, answer is ownership.CallOutcome.DONE, now)
     renewal = ownership.find_renewal(state, item)
     if answer is ownership.CallOutcome.REFUSED:
-        # What was merged or moved since has a higher fence of our own.
+        # Keys that were merged or moved since have a higher token of this
+        # coordinator. Their refusal doesn't prove that another one took over.
         state.superseded |= (item in state.assignment.ranges and
                              (renewal is None or renewal.fence == grant.fence))
     if renewal is not None:
-        _note_renewal(state, renewal, grant, granted, sent_at, now)
+        _schedule_next_grant(state, renewal, grant, granted, sent_at, now)
 
 
-def _note_hold(state: ownership.Coordination, grant: ownership.Grant,
-               answered: bool, now: float) -> None:
-    """Notes what a server may hold by a grant, which may just have arrived."""
+def _record_hold(state: ownership.Coordination, grant: ownership.Grant,
+                 answered: bool, now: float) -> None:
+    """Records the hold of a grant, which may have arrived as late as now."""
     item = grant.key_range
     until = holds.compute_expiry(now, grant.hold_ms)
     state.server_holds = holds.add(
@@ -261,38 +278,40 @@
                    answered))
 
 
-def _note_renewal(state: ownership.Coordination, renewal: ownership.Renewal,
-                  grant: ownership.Grant, granted: ownership.GrantResult,
-                  sent_at: float, now: float) -> None:
-    """Works out when and how keys are granted again."""
-    whole = grant.key_range in state.renewals
-    if whole:
+def _schedule_next_grant(state: ownership.Coordination,
+                         renewal: ownership.Renewal, grant: ownership.Grant,
+                         granted: ownership.GrantResult, sent_at: float,
+                         now: float) -> None:
+    """Schedules the next grant of a range and selects its fencing token."""
+    covers_range = grant.key_range in state.renewals
+    if covers_range:
         renewal.pending = False
     if (granted.outcome is ownership.CallOutcome.REFUSED or
             renewal.fence != grant.fence):
         return
     if granted.outcome is ownership.CallOutcome.DONE:
-        _note_renewed(state, renewal, grant, granted.link)
-        if whole:
+        _record_accepted_grant(state, renewal, grant, granted.link)
+        if covers_range:
             renewal.due_at = sent_at + grant.hold_ms * ownership.RENEW_FRACTION
         return
     if granted.outcome is not ownership.CallOutcome.NOT_SENT:
         ownership.replace_fence(state, renewal, granted.link)
-    # A new fence needs no wait if the old one was not sent.
-    at_once = (granted.outcome is ownership.CallOutcome.UNLINKED and
-               renewal.link is None)
-    renewal.due_at = now if at_once else now + ownership.GRANT_RETRY_MS
+    # If the grant was not sent, it may be repeated at once with a new token.
+    retries_now = (granted.outcome is ownership.CallOutcome.UNLINKED and
+                   renewal.link is None)
+    renewal.due_at = now if retries_now else now + ownership.GRANT_RETRY_MS
 
 
-def _note_renewed(state: ownership.Coordination, renewal: ownership.Renewal,
-                  grant: ownership.Grant, link: int | None) -> None:
-    """Notes that keys were granted over a connection."""
+def _record_accepted_grant(state: ownership.Coordination,
+                           renewal: ownership.Renewal, grant: ownership.Grant,
+                           link: int | None) -> None:
+    """Records that a server accepted a grant over a connection."""
     state.handover_tokens.pop(grant.key_range, None)
     renewal.owner_answered = True
     if renewal.link in (None, link):
         renewal.link = link
     else:
-        # Another part of the range went over another connection.
+        # Another part of the range was granted over another connection.
         ownership.replace_fence(state, renewal, link)
 
 
@@ -300,8 +319,16 @@
                           release: ownership.Release,
                           answer: ownership.CallOutcome, token: str,
                           now: float) -> None:
-    """Takes in what came of a release."""
-    _note_answer(state, release.key_range.server, answer, now)
+    """Handles the result of a release.
+
+    Args:
+      state: State of the coordinator.
+      release: The release.
+      answer: Its outcome.
+      token: Handover token that the server returned; empty if there is none.
+      now: Current time, ms.
+    """
+    _record_reachability(state, release.key_range.server, answer, now)
     for move in state.moves:
         transfer = move.transfer
         if (move.phase is not ownership.Phase.RELEASING or
@@ -319,23 +346,22 @@
 
 def handle_probe_result(state: ownership.Coordination, probe: ownership.Probe,
                         answer: ownership.CallOutcome, now: float) -> None:
-    """Takes in what came of a probe."""
+    """Handles the result of a probe."""
     state.probes_in_flight.discard(probe.server.id)
-    _note_answer(state, probe.server.id, answer, now)
+    _record_reachability(state, probe.server.id, answer, now)
 
 
-def _note_answer(state: ownership.Coordination, name: str,
-                 answer: ownership.CallOutcome, now: float) -> None:
-    """Takes in whether a server answers a release or a probe."""
+def _record_reachability(state: ownership.Coordination, name: str,
+                         answer: ownership.CallOutcome, now: float) -> None:
+    """Records whether a server answered a release or a probe."""
     if answer is ownership.CallOutcome.DONE:
-        _note_answering(state, name, now)
+        _record_answer(state, name, now)
     else:
         state.responsive.discard(name)
         state.release_suspended.add(name)
 
 
-def _note_answering(state: ownership.Coordination, name: str,
-                    at: float) -> None:
+def _record_answer(state: ownership.Coordination, name: str, at: float) -> None:
     state.answered_at[name] = at
     state.responsive.add(name)
     state.release_suspended.discard(name)
@@ -343,13 +369,13 @@
 
 def handle_save_failure(state: ownership.Coordination, refused: bool,
                         now: float) -> None:
-    """Takes in that a save failed.
+    """Handles a failed save.
 
     Args:
-      state: The coordinator.
-      refused: Whether the store said so. Otherwise it may be carried out all
-        the same, and whoever reads it grants its targets the keys.
-      now: ms.
+      state: State of the coordinator.
+      refused: Whether the store refused the save. Otherwise it may have been
+        executed, and a successor that reads it grants the keys to the targets.
+      now: Current time, ms.
     """
     state.saving = False
     state.next_save_at = now + ownership.SAVE_RETRY_MS
@@ -361,7 +387,7 @@
 
 def handle_saved(state: ownership.Coordination, save: ownership.Save,
                  revision: int) -> None:
-    """Takes in that an assignment was saved."""
+    """Handles a successful save of an assignment."""
     state.saving = False
     before = set(state.assignment.ranges)
     state.assignment = save.assignment
@@ -390,9 +416,9 @@
 
 def _make_renewal(state: ownership.Coordination, item: keyranges.KeyRange,
                   before: set[keyranges.KeyRange]) -> ownership.Renewal:
-    """Returns how a range that was just saved is granted.
+    """Returns the grant state of a range that was just saved.
 
-    A piece that stayed with its owner keeps its renewal times.
+    A part of an earlier range of the same owner keeps that range's schedule.
     """
     for old in before:
         if (old.server == item.server and old.fence == item.fence and
@@ -400,7 +426,7 @@
             renewal = state.renewals.get(old, ownership.Renewal(old.fence))
             kept = dataclasses.replace(renewal, pending=False)
             if renewal.pending:
-                # The grant under way may have used the fence by now.
+                # The grant in flight may already have used the token.
                 ownership.replace_fence(state, kept, renewal.link)
             return kept
     renewal = ownership.Renewal(item.fence)
@@ -411,7 +437,7 @@
 
 def _has_higher_fence(state: ownership.Coordination, item: keyranges.KeyRange,
                       before: set[keyranges.KeyRange]) -> bool:
-    """Returns whether keys got a higher fence while they were being saved."""
+    """Returns whether keys got a higher token while the save was in flight."""
     return any(old.server == item.server and
                keyranges.overlaps(old, item.first, item.last) and
                old in state.renewals and state.renewals[old].fence >= item.fence
