--- a/lentilmoor/edge/moves.py
+++ b/lentilmoor/edge/moves.py
@@ -1,8 +1,8 @@
-"""Moves of keys from one server to another: planned, released, saved.
+"""Moves of keys from one server to another: planning, releases and saves.
 
-Keys move off servers that leave or don't answer, and to even out load. Each
-move goes through a release, a wait for what may still hold the keys, and a
-save; the grant follows from what was saved.
+Keys move off servers that leave or don't answer, and to balance load. Each move
+consists of a release by the source, a wait until the holds of other servers
+have expired, and a save. The target is granted the keys after the save.
 """
 
 from collections.abc import Mapping
@@ -18,7 +18,13 @@
 
 def plan_moves(state: ownership.Coordination, view: ownership.ServiceView,
                now: float) -> None:
-    """Adds what is to move: keys of servers that leave, then what evens out."""
+    """Adds moves of keys of leaving servers, then moves that balance load.
+
+    Args:
+      state: State of the coordinator.
+      view: The service's servers and load.
+      now: Current time, ms.
+    """
     if state.saving:
         return
     capacities = {
@@ -32,21 +38,21 @@
     state.moves = [
         move for move in state.moves
         if move.phase is not ownership.Phase.WAIT or move.handover_token or
-        move.may_be_saved or not _is_back(state, view, move, now)
+        move.may_be_saved or not _has_returned(state, view, move, now)
     ]
     _plan_departures(state, view, capacities, now)
-    unsure = any(
+    defer = any(
         move.phase is not ownership.Phase.WAIT for move in state.moves) or any(
             ownership.may_return(state, view, item.server, now)
             for item in state.assignment.ranges)
-    if not unsure and now - state.rebalanced_at >= ownership.REBALANCE_PAUSE_MS:
+    if not defer and now - state.rebalanced_at >= ownership.REBALANCE_PAUSE_MS:
         state.rebalanced_at = now
         _plan_balance(state, view, capacities, now)
 
 
 def _plan_departures(state: ownership.Coordination, view: ownership.ServiceView,
                      capacities: Mapping[str, float], now: float) -> None:
-    """Adds the keys of servers that leave or don't answer."""
+    """Adds moves of the keys of servers that leave or don't answer."""
     owned = ownership.list_unmoved_ranges(state)
     for item in owned:
         if item.server in capacities:
@@ -63,7 +69,8 @@
         phase = ownership.Phase.RELEASE if release else ownership.Phase.WAIT
         replacement = ownership.find_replacement(state, view, item.server)
         if item.server in view.ended and replacement in capacities:
-            # It may hold them already, and others would have to wait for that.
+            # The replacement may hold the keys already, so that any other
+            # target would have to wait until that hold has expired.
             transfers = [
                 rebalancing.Transfer(item.first, item.last, item.server,
                                      replacement)
@@ -77,22 +84,22 @@
 
 def _plan_balance(state: ownership.Coordination, view: ownership.ServiceView,
                   capacities: Mapping[str, float], now: float) -> None:
-    """Adds what evens out load, or joins scraps if it is even."""
+    """Adds moves that balance load or else merge small ranges."""
     owned = ownership.list_unmoved_ranges(state)
     transfers = rebalancing.plan_transfers(owned, view.loads, capacities)
     if not transfers:
         transfers = rebalancing.plan_range_merges(owned, view.loads, capacities)
     for transfer in transfers:
-        if _is_loose(state, transfer):
+        if _has_unanswered_grant(state, transfer):
             state.pending_regrants.append(transfer)
         else:
             state.moves.append(
                 ownership.Move(transfer, ownership.Phase.RELEASE, now))
 
 
-def _is_back(state: ownership.Coordination, view: ownership.ServiceView,
-             move: ownership.Move, now: float) -> bool:
-    """Returns whether a server that lost keys may keep them after all."""
+def _has_returned(state: ownership.Coordination, view: ownership.ServiceView,
+                  move: ownership.Move, now: float) -> bool:
+    """Returns whether the source of a move is back and may keep its keys."""
     source = move.transfer.source
     server = view.servers.get(source)
     return (server is not None and not server.draining and
@@ -101,9 +108,9 @@
             state.answered_at[source] > move.planned_at)
 
 
-def _is_loose(state: ownership.Coordination,
-              transfer: rebalancing.Transfer) -> bool:
-    """Returns whether a grant without an answer would outlast a release."""
+def _has_unanswered_grant(state: ownership.Coordination,
+                          transfer: rebalancing.Transfer) -> bool:
+    """Returns whether an unanswered grant may be applied after a release."""
     return any(item.server == transfer.source and not item.acknowledged and
                keyranges.overlaps(item, transfer.first, transfer.last)
                for item in state.server_holds)
@@ -122,9 +129,12 @@
 
 def plan_releases(state: ownership.Coordination, view: ownership.ServiceView,
                   now: float) -> list[ownership.Action]:
-    """Returns releases that are due; moves that need none go on."""
+    """Returns releases that are due.
+
+    Moves that need no release enter the phase `WAIT`.
+    """
     actions: list[ownership.Action] = []
-    calling = {
+    awaiting_answer = {
         move.transfer.source
         for move in state.moves
         if move.phase is ownership.Phase.RELEASING and
@@ -142,8 +152,8 @@
         if transfer.source in state.release_suspended:
             move.phase = ownership.Phase.WAIT
             continue
-        if transfer.source in calling:
-            continue  # Whether it answers is known soon.
+        if transfer.source in awaiting_answer:
+            continue  # Its answer to an earlier call is awaited first.
         if server is None or len(pieces) != 1:
             move.phase = ownership.Phase.WAIT
             continue
@@ -153,7 +163,7 @@
             continue
         move.phase = ownership.Phase.RELEASING
         if transfer.source not in state.responsive:
-            calling.add(transfer.source)
+            awaiting_answer.add(transfer.source)
         actions.append(
             ownership.Release(state.assignment.service, server,
                               _with_granted_fence(state, pieces[0])))
@@ -162,7 +172,7 @@
 
 def _with_granted_fence(state: ownership.Coordination,
                         item: keyranges.KeyRange) -> keyranges.KeyRange:
-    """Returns keys with the fence that they were last granted under."""
+    """Returns keys with the fencing token of their last grant."""
     renewal = ownership.find_renewal(state, item)
     if renewal is None:
         return item
@@ -170,7 +180,7 @@
 
 
 def list_unserved(state: ownership.Coordination) -> list[tuple[int, int]]:
-    """Returns first and last keys that wait for a server's hold to run out."""
+    """Returns first and last keys of moves that wait for holds to expire."""
     return [(move.transfer.first, move.transfer.last)
             for move in state.moves
             if move.phase is ownership.Phase.WAIT]
@@ -178,15 +188,22 @@
 
 def plan_save(state: ownership.Coordination, view: ownership.ServiceView,
               now: float) -> list[ownership.Action]:
-    """Returns the save of what may change hands now, or of many new fences."""
+    """Returns a save if one is due.
+
+    A save is due for moves whose wait is over, for ranges that are granted
+    again, after a change of the store's era, and when half of the unsaved
+    fencing tokens are used.
+    """
     if state.saving or now < state.next_save_at:
         return []
-    state.moves = [move for move in state.moves if _is_sound(state, move)]
+    state.moves = [
+        move for move in state.moves if _source_owns_keys(state, move)
+    ]
     waiting = [
         move for move in state.moves if move.phase is ownership.Phase.WAIT and
         not ownership.has_grant_in_flight(state, move.transfer)
     ]
-    _redirect(state, view, waiting)
+    _replace_departed_targets(state, view, waiting)
     ready = [
         move for move in waiting if holds.find_expiry_elsewhere(
             state.server_holds, move.transfer.target, move.transfer.first,
@@ -194,19 +211,20 @@
     ]
     for move in ready:
         move.phase = ownership.Phase.SAVING
-    laid = [(move.transfer.first, move.transfer.last, move.transfer.target)
-            for move in ready]
-    laid += _take_loose(state)
+    changes = [(move.transfer.first, move.transfer.last, move.transfer.target)
+               for move in ready]
+    changes += _take_regrants(state)
     assignment = state.assignment
-    # Until it may grant keys, moves of an earlier era may be unknown to it.
+    # Before it may grant keys, the coordinator may lack moves of an earlier
+    # era, so that its assignment must not be saved as one of the new era.
     era = state.era if now >= state.active_since else assignment.era
     unsaved = state.next_fence - assignment.next_fence
-    if (not laid and unsaved < ownership.MAX_UNSAVED_FENCES / 2 and
+    if (not changes and unsaved < ownership.MAX_UNSAVED_FENCES / 2 and
             assignment.era == era):
         return []
     changed = [
         keyranges.KeyRange(first, last, server, state.next_fence + number)
-        for number, (first, last, server) in enumerate(laid)
+        for number, (first, last, server) in enumerate(changes)
     ]
     state.saving = True
     ranges = keyranges.reassign(assignment.ranges, changed)
@@ -223,16 +241,16 @@
     return [ownership.Save(assignment.service, following, state.revision)]
 
 
-def _take_loose(state: ownership.Coordination) -> list[tuple[int, int, str]]:
-    """Returns ranges whose owners are to get them under a higher fence."""
-    loose, state.pending_regrants = state.pending_regrants, []
+def _take_regrants(state: ownership.Coordination) -> list[tuple[int, int, str]]:
+    """Takes the pending regrants and returns the ranges for new tokens."""
+    regrants, state.pending_regrants = state.pending_regrants, []
     unmoved = ownership.list_unmoved_ranges(state)
     return [(item.first, item.last, item.server)
             for item in unmoved
             if item.server in state.responsive and any(
                 transfer.source == item.server and
                 keyranges.overlaps(item, transfer.first, transfer.last)
-                for transfer in loose)]
+                for transfer in regrants)]
 
 
 def _list_addresses(state: ownership.Coordination, view: ownership.ServiceView,
@@ -245,21 +263,23 @@
     return addresses
 
 
-def _is_sound(state: ownership.Coordination, move: ownership.Move) -> bool:
-    """Returns whether all keys of a move are still its source's."""
+def _source_owns_keys(state: ownership.Coordination,
+                      move: ownership.Move) -> bool:
+    """Returns whether the source of a move still owns all its keys."""
     transfer = move.transfer
     pieces = keyranges.intersect(state.assignment.ranges, transfer.first,
                                  transfer.last)
     return all(piece.server == transfer.source for piece in pieces)
 
 
-def _redirect(state: ownership.Coordination, view: ownership.ServiceView,
-              ready: list[ownership.Move]) -> None:
-    """Gives keys another target if theirs has left meanwhile."""
+def _replace_departed_targets(state: ownership.Coordination,
+                              view: ownership.ServiceView,
+                              waiting: list[ownership.Move]) -> None:
+    """Replaces targets that have left by the server with the fewest keys."""
     staying = [
         name for name, server in view.servers.items() if not server.draining
     ]
-    for move in ready:
+    for move in waiting:
         transfer = move.transfer
         if transfer.target not in staying and staying:
             counts = dict.fromkeys(staying, 0)
