--- a/lentilmoor/edge/rebalancing.py
+++ b/lentilmoor/edge/rebalancing.py
@@ -1,17 +1,17 @@
-"""Which keys move to which server, so that load per capacity is even.
-
-Answers loads in which a few neighbouring keys take a large part of the
-requests and change within seconds: the narrowest run of keys that carries the
-surplus is moved, so that hot neighbours are split apart while few keys change
-hands. Servers that join get a share at once.
-
-A single key can take more than a server's whole share: 30% of all requests
-were seen for one of 65,536 keys. It can't be split, so it goes to the fastest
-server, which gives all its other keys away; the rest is evened out over the
-others. In the load model, with 25% to 30% of requests for one key for 9 s of
-30, this raised the worth earned of stock from 0.833 to 0.847 and what was
-served at all from 0.920 to 0.942; of shifts from 0.862 to 0.887 and from 0.945
-to 0.970 (6 seeds).
+"""Plans which keys move to which server to balance load per capacity.
+
+A few adjacent hot keys can receive a large part of the requests, and which keys
+are hot can change within seconds. The narrowest run of keys that carries the
+surplus is moved, so that adjacent hot keys are separated while few keys move.
+Servers that join get a share at once.
+
+A single key can exceed a server's whole share: 30% of all requests were seen
+for one of 65,536 keys. As such a key can't be split, it moves to the fastest
+server, which gives away all its other keys, and the remaining load is balanced
+over the other servers. In the load model, with 25% to 30% of requests for one
+key during 9 of 30 s (6 seeds), this raised the value earned from 0.833 to 0.847
+and the fraction of requests served from 0.920 to 0.942 for the service stock,
+and from 0.862 to 0.887 and from 0.945 to 0.970 for the service shifts.
 """
 
 from collections.abc import Iterable
@@ -21,49 +21,49 @@
 from lentilmoor.edge import keyloads
 from lentilmoor.edge import keyranges
 
-# A server gives keys away if it has this much more than its share: each move
-# costs a cold start.
+# A server gives keys away if its load exceeds its share by this factor. Smaller
+# imbalances don't justify the cold start that each move causes.
 OVERLOAD_FACTOR = 1.2
-# And if its surplus is this many times what chance alone makes of it: a count
-# varies by its square root.
+# Minimum surplus in standard deviations. The standard deviation of a count is
+# about its square root.
 MIN_SURPLUS_DEVIATIONS = 1.0
-# A server without keys takes this part of its share at once.
+# A server without keys gets this fraction of its share at once.
 JOIN_SHARE_FRACTION = 0.7
-# Servers get load by this power of their speed: at equal utilisation requests
-# would wait longer at slow ones.
+# Load is assigned in proportion to speed to this power. At equal utilisation,
+# requests would wait longer at slow servers.
 SPEED_EXPONENT = 1.5
-# Moves planned at once: each costs a release and a grant.
+# Maximum transfers per plan. Each costs a release and a grant.
 MAX_TRANSFERS = 24
-# A key heavier than its owner's share moves to a server this many times as
-# fast: it is unserved while it moves, for as long as work on it still runs.
+# A key heavier than its owner's share moves only to a server that is faster by
+# this factor, as it is unserved until its running requests have finished.
 MIN_SPEEDUP_FACTOR = 1.25
 # Minimum load of a heavy key, as a fraction of the share of a server with
 # capacity 1. Without it, even light keys of a server with a low rate limit
 # would each be moved to a different one of the fastest servers.
 MIN_HEAVY_KEY_FRACTION = 0.125
-# A key is kept apart from what makes up a run once it is this many times the
-# load that is to move: moving it would move the trouble.
+# A key is excluded from runs if its load exceeds the load to be moved by this
+# factor. Moving it would only overload the target instead.
 HEAVY_KEY_FACTOR = 1.6
-# Ranges for each server beyond which scraps are joined to their neighbours.
+# Above this number of ranges, small ones are merged with adjacent ranges.
 MAX_RANGES_PER_SERVER = 3
-# A scrap has less than this part of a server's share of the load.
+# A range is small if its load is below this fraction of a server's share.
 SMALL_RANGE_FRACTION = 0.06
-# Scraps joined at once.
+# Maximum ranges merged per plan.
 MAX_RANGE_MERGES = 8
-# Pieces that a server's keys are cut into when it leaves, per server that
-# stays.
+# When a server leaves, its keys are split into at most this many pieces per
+# remaining server.
 PIECES_PER_SERVER = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Transfer:
-    """Keys that are to move.
+    """A planned move of keys from one server to another.
 
     Attributes:
       first: First key.
       last: Last key, included.
-      source: Id of the server that gives them.
-      target: Id of the server that gets them.
+      source: Id of the server that owns the keys.
+      target: Id of the server that is to receive them.
     """
 
     first: int
@@ -74,14 +74,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ImbalanceSummary:
-    """How evenly load lies, for the log.
+    """Summary of the load distribution, for the log.
 
     Attributes:
       total: Load of all keys.
-      busiest: Server with the most load for its speed.
-      ratio: Its load, in shares.
-      heaviest_key: The key with the most load; -1 if none was seen.
-      heaviest_load: Its load.
+      busiest: Id of the server with the highest load relative to its share.
+      ratio: Load of that server divided by its share.
+      heaviest_key: The key with the highest load; -1 if there is no load.
+      heaviest_load: Load of that key.
     """
 
     total: float
@@ -93,42 +93,43 @@
 
 @dataclasses.dataclass(slots=True)
 class _Plan:
-    """What a plan works on.
+    """State of a plan while transfers are added to it.
 
     Attributes:
-      owned: Keys by owner, as they will be.
-      held: Load of each server, as it will be.
+      owned: Ranges with their owners after the transfers planned so far.
+      held: Load by server after these transfers.
       loads: Load by key.
-      capacities: Weight of each server that may hold keys.
-      goals: Load that each is to have besides a key that takes it up.
-      taken: Load of the key that takes a server up, by server.
+      capacities: Weight by server that may own keys.
+      goals: Target load by server, without that of a dedicated heavy key.
+      taken: Load of the heavy key that a server is dedicated to, by server.
     """
 
-    owned: list[keyranges.KeyRange]
-    held: dict[str, float]
+    ranges: list[keyranges.KeyRange]
+    server_loads: dict[str, float]
     loads: keyloads.KeyLoads
     capacities: dict[str, float]
     goals: dict[str, float] = dataclasses.field(default_factory=dict)
-    taken: dict[str, float] = dataclasses.field(default_factory=dict)
+    dedicated_loads: dict[str, float] = dataclasses.field(default_factory=dict)
 
 
 def plan_transfers(ranges: Iterable[keyranges.KeyRange],
                    loads: keyloads.KeyLoads,
                    capacities: Mapping[str, float]) -> list[Transfer]:
-    """Plans what makes load per capacity even.
+    """Plans transfers that balance load per capacity.
 
     Args:
-      ranges: Keys by owner; owners without a capacity are left alone.
+      ranges: Ranges with their owners. Those of owners without a capacity
+        don't move.
       loads: Load by key.
-      capacities: Relative speed of each server that may hold keys.
+      capacities: Relative speed by server that may own keys.
     """
     plan = _make_plan(ranges, loads, capacities)
-    if len(capacities) < 2 or sum(plan.held.values()) <= 0:
-        return []  # All keys are on their way, or there is no choice.
-    transfers = _move_heavy(plan, capacities)
+    if len(capacities) < 2 or sum(plan.server_loads.values()) <= 0:
+        return []  # There is no other server, or all keys are being moved.
+    transfers = _plan_heavy_keys(plan, capacities)
     while len(transfers) < MAX_TRANSFERS:
-        transfer = _plan_one(plan)
-        if transfer is None or _meets_any(transfer, transfers):
+        transfer = _plan_transfer(plan)
+        if transfer is None or _overlaps_any(transfer, transfers):
             break
         transfers.append(transfer)
         _apply(plan, transfer)
@@ -138,12 +139,13 @@
 def measure_imbalance(ranges: Iterable[keyranges.KeyRange],
                       loads: keyloads.KeyLoads,
                       capacities: Mapping[str, float]) -> ImbalanceSummary:
-    """Returns how evenly load lies over servers that may hold keys."""
+    """Returns the distribution of load over the servers that may own keys."""
     plan = _make_plan(ranges, loads, capacities)
-    share = sum(plan.held.values()) / max(sum(plan.capacities.values()), 1e-9)
+    share = sum(plan.server_loads.values()) / max(sum(plan.capacities.values()),
+                                                  1e-9)
     ratios = {
         name: load / max(share * plan.capacities[name], 1e-9)
-        for name, load in plan.held.items()
+        for name, load in plan.server_loads.items()
     }
     busiest = max(ratios, key=ratios.__getitem__, default='')
     key, load = next(iter(loads.list_heavy(0.0)), (-1, 0.0))
@@ -159,50 +161,53 @@
     return _Plan(owned, _measure_servers(owned, loads, weights), loads, weights)
 
 
-def _move_heavy(plan: _Plan, speeds: Mapping[str, float]) -> list[Transfer]:
-    """Moves keys heavier than a share to the fastest servers; sets goals."""
-    share = sum(plan.held.values()) / sum(plan.capacities.values())
+def _plan_heavy_keys(plan: _Plan, speeds: Mapping[str,
+                                                  float]) -> list[Transfer]:
+    """Plans moves of heavy keys to the fastest servers and sets the goals."""
+    share = sum(plan.server_loads.values()) / sum(plan.capacities.values())
     heavy = []
     thresholds = {
         name: share * max(MIN_HEAVY_KEY_FRACTION, capacity)
         for name, capacity in plan.capacities.items()
     }
     for key, load in plan.loads.list_heavy(min(thresholds.values())):
-        item = keyranges.find_range(plan.owned, key)
-        sure = load - MIN_SURPLUS_DEVIATIONS * load**0.5
+        item = keyranges.find_range(plan.ranges, key)
+        certain_load = load - MIN_SURPLUS_DEVIATIONS * load**0.5
         if (item is not None and item.server in thresholds and
-                sure > thresholds[item.server]):
+                certain_load > thresholds[item.server]):
             heavy.append((key, load, item.server))
     fastest = sorted(speeds, key=speeds.__getitem__, reverse=True)
     transfers = []
-    homes: dict[str, float] = {}
+    heavy_loads: dict[str, float] = {}
     for key, load, owner in heavy:
-        target = next((name for name in fastest if name not in homes), owner)
-        if target != owner and (owner in homes or speeds[target]
+        target = next((name for name in fastest if name not in heavy_loads),
+                      owner)
+        if target != owner and (owner in heavy_loads or speeds[target]
                                 >= MIN_SPEEDUP_FACTOR * speeds[owner]):
             transfer = Transfer(key, key, owner, target)
             transfers.append(transfer)
             _apply(plan, transfer)
             owner = target
-        homes[owner] = load
-    _set_goals(plan, homes)
+        heavy_loads[owner] = load
+    _set_goals(plan, heavy_loads)
     return transfers
 
 
-def _set_goals(plan: _Plan, homes: Mapping[str, float]) -> None:
-    """Sets the load that each server is to have.
+def _set_goals(plan: _Plan, heavy_loads: Mapping[str, float]) -> None:
+    """Sets the target load of each server.
 
     Args:
       plan: The plan.
-      homes: Load of the heaviest key of servers that have a heavy one.
+      heavy_loads: Load of the heavy key by server that owns one.
     """
-    total = sum(plan.held.values())
+    total = sum(plan.server_loads.values())
     capacity = sum(plan.capacities.values())
     for name, load in sorted(
-            homes.items(), key=lambda item: plan.capacities[item[0]] / item[1]):
+            heavy_loads.items(),
+            key=lambda item: plan.capacities[item[0]] / item[1]):
         if load * capacity <= total * plan.capacities[name]:
             break
-        plan.taken[name] = load
+        plan.dedicated_loads[name] = load
         total -= load
         capacity -= plan.capacities[name]
     share = total / capacity if capacity else total
@@ -210,8 +215,11 @@
         plan.goals[name] = share * weight
 
 
-def _meets_any(transfer: Transfer, others: Iterable[Transfer]) -> bool:
-    """Returns whether keys would move on before they have arrived."""
+def _overlaps_any(transfer: Transfer, others: Iterable[Transfer]) -> bool:
+    """Returns whether a transfer overlaps others of the same plan.
+
+    Keys must not move again before their first transfer is complete.
+    """
     return any(
         keyranges.overlaps(item, transfer.first, transfer.last)
         for item in others)
@@ -220,15 +228,15 @@
 def plan_range_merges(ranges: Iterable[keyranges.KeyRange],
                       loads: keyloads.KeyLoads,
                       capacities: Mapping[str, float]) -> list[Transfer]:
-    """Plans what gives scraps of keys back to their neighbours' owners.
+    """Plans transfers of small ranges to the owners of adjacent ranges.
 
-    Keys that were hot leave scraps behind, and each range costs a renewal a
-    second: 224 of them took a quarter of a core.
+    Moves of hot keys leave small ranges behind, and each range costs a renewal
+    a second: 224 ranges took a quarter of a core.
 
     Args:
-      ranges: Keys by owner, sorted.
+      ranges: Ranges with their owners, sorted by key.
       loads: Load by key.
-      capacities: Relative speed of each server that may hold keys; not empty.
+      capacities: Relative speed by server that may own keys; not empty.
     """
     owned = list(ranges)
     if len(owned) <= MAX_RANGES_PER_SERVER * len(capacities):
@@ -236,16 +244,16 @@
     least = loads.total / len(capacities) * SMALL_RANGE_FRACTION
     transfers: list[Transfer] = []
     for before, item in zip(owned, owned[1:], strict=False):
-        scrap, target = item, before.server
+        lighter, target = item, before.server
         if loads.measure(before.first,
                          before.last) < loads.measure(item.first, item.last):
-            scrap, target = before, item.server
-        transfer = Transfer(scrap.first, scrap.last, scrap.server, target)
-        known = {target, scrap.server} <= capacities.keys()
-        together = before.last + 1 == item.first and target != scrap.server
-        small = loads.measure(scrap.first, scrap.last) < least
-        if (known and together and small and
-                not _meets_any(transfer, transfers)):
+            lighter, target = before, item.server
+        transfer = Transfer(lighter.first, lighter.last, lighter.server, target)
+        both_eligible = {target, lighter.server} <= capacities.keys()
+        adjacent = before.last + 1 == item.first and target != lighter.server
+        below_limit = loads.measure(lighter.first, lighter.last) < least
+        if (both_eligible and adjacent and below_limit and
+                not _overlaps_any(transfer, transfers)):
             transfers.append(transfer)
         if len(transfers) >= MAX_RANGE_MERGES:
             break
@@ -256,13 +264,13 @@
                    ranges: Iterable[keyranges.KeyRange],
                    loads: keyloads.KeyLoads,
                    capacities: Mapping[str, float]) -> list[Transfer]:
-    """Plans where the keys of a server that leaves go.
+    """Plans transfers of a range of a leaving server to the others.
 
     Args:
-      item: Its keys.
-      ranges: Keys by owner.
+      item: The range.
+      ranges: All ranges with their owners.
       loads: Load by key.
-      capacities: Relative speed of each server that stays; not empty.
+      capacities: Relative speed by remaining server; not empty.
     """
     held = _measure_servers(ranges, loads, capacities)
     share = loads.total / len(capacities)
@@ -290,28 +298,30 @@
     return held
 
 
-def _plan_one(plan: _Plan) -> Transfer | None:
+def _plan_transfer(plan: _Plan) -> Transfer | None:
     ratios = {
-        name: _find_rest(plan, name) / max(goal, 1e-9)
+        name: _compute_balanced_load(plan, name) / max(goal, 1e-9)
         for name, goal in plan.goals.items()
     }
-    # A server that one key takes up gives the others away.
+    # A server that is dedicated to one key gives away its other keys.
     ranks = {
-        name: ratio + (name in plan.taken) for name, ratio in ratios.items()
+        name: ratio + (name in plan.dedicated_loads)
+        for name, ratio in ratios.items()
     }
     target = min(ranks, key=ranks.__getitem__)
-    if target in plan.taken:
+    if target in plan.dedicated_loads:
         return None
-    joins = not any(item.server == target for item in plan.owned)
-    room = plan.goals[target] - plan.held[target]
+    joins = not any(item.server == target for item in plan.ranges)
+    room = plan.goals[target] - plan.server_loads[target]
     if joins:
         room *= JOIN_SHARE_FRACTION
     least = 1.0 if joins else OVERLOAD_FACTOR
     for source in sorted(ranks, key=ranks.__getitem__, reverse=True):
         if source == target or ranks[source] < least:
             return None
-        rest = _find_rest(plan, source)
-        surplus = rest if source in plan.taken else rest - plan.goals[source]
+        rest = _compute_balanced_load(plan, source)
+        surplus = rest if source in plan.dedicated_loads else rest - plan.goals[
+            source]
         if not joins and surplus < MIN_SURPLUS_DEVIATIONS * rest**0.5:
             continue
         if joins:
@@ -322,44 +332,45 @@
     return None
 
 
-def _find_rest(plan: _Plan, name: str) -> float:
-    """Returns a server's load besides a key that takes it up."""
-    return plan.held[name] - plan.taken.get(name, 0.0)
+def _compute_balanced_load(plan: _Plan, name: str) -> float:
+    """Returns a server's load without that of a dedicated heavy key."""
+    return plan.server_loads[name] - plan.dedicated_loads.get(name, 0.0)
 
 
 def _pick_keys(plan: _Plan, source: str, target: str,
                amount: float) -> Transfer | None:
-    """Picks the narrowest run of the source's keys that carries a load."""
-    pieces = _list_light(plan, source, amount * HEAVY_KEY_FACTOR)
+    """Picks the narrowest run of the source's keys that carries the amount."""
+    pieces = _list_light_runs(plan, source, amount * HEAVY_KEY_FACTOR)
     runs = [
         plan.loads.find_run(first, last, amount * 0.9) for first, last in pieces
     ]
     best = min(filter(None, runs), key=keyloads.find_width, default=None)
     if best is None:
-        return _pick_widest(plan, pieces, source, target, amount)
+        return _pick_from_widest(plan, pieces, source, target, amount)
     if plan.loads.measure(*best) > amount * HEAVY_KEY_FACTOR:
         return None
     return Transfer(best[0], best[1], source, target)
 
 
-def _list_light(plan: _Plan, source: str, most: float) -> list[tuple[int, int]]:
-    """Returns a server's keys, first and last, without its heavy ones."""
+def _list_light_runs(plan: _Plan, source: str,
+                     max_load: float) -> list[tuple[int, int]]:
+    """Returns first and last keys of a server's runs between heavy keys."""
     pieces = []
-    for item in plan.owned:
+    for item in plan.ranges:
         if item.server != source:
             continue
         first = item.first
         for key, load in plan.loads.list_keys(item.first, item.last):
-            if load > most:
+            if load > max_load:
                 pieces.append((first, key - 1))
                 first = key + 1
         pieces.append((first, item.last))
     return [(first, last) for first, last in pieces if first <= last]
 
 
-def _pick_widest(plan: _Plan, pieces: list[tuple[int, int]], source: str,
-                 target: str, amount: float) -> Transfer | None:
-    """Takes part of the source's widest piece, where no keys were seen."""
+def _pick_from_widest(plan: _Plan, pieces: list[tuple[int, int]], source: str,
+                      target: str, amount: float) -> Transfer | None:
+    """Picks part of the source's widest piece if no run carries the amount."""
     if not pieces:
         return None
     first, last = max(pieces, key=keyloads.find_width)
@@ -374,8 +385,8 @@
 
 def _apply(plan: _Plan, transfer: Transfer) -> None:
     load = plan.loads.measure(transfer.first, transfer.last)
-    plan.held[transfer.source] -= load
-    plan.held[transfer.target] += load
-    plan.owned[:] = keyranges.reassign(
-        plan.owned,
+    plan.server_loads[transfer.source] -= load
+    plan.server_loads[transfer.target] += load
+    plan.ranges[:] = keyranges.reassign(
+        plan.ranges,
         [keyranges.KeyRange(transfer.first, transfer.last, transfer.target, 0)])
