--- a/tests/edgeworlds.py
+++ b/tests/edgeworlds.py
@@ -1,9 +1,10 @@
-"""A world of servers that enforce grants, for tests of the coordinator.
+"""Simulation of servers that enforce grants, for tests of the coordinator.
 
-Servers hold keys by their own, slow clocks; grants may be lost, delayed, left
-without an answer and applied seconds later, and servers may crash, go silent or
-leave. Coordinators may be replaced while the old one goes on. Time is moved by
-hand. A grant arrives before it is answered or given up, or never.
+Servers hold keys by their own, slow clocks. Grants may be lost, delayed, left
+without an answer or applied seconds later, and servers may crash, stop
+answering or leave. A coordinator may be replaced while it continues to run.
+Time is advanced manually. A grant arrives before it is answered or times out,
+or never.
 """
 
 import dataclasses
@@ -40,18 +41,18 @@
     pace: float
     up: bool = True
     reachable: bool = True
-    # Takes calls and answers none; grants are applied much later.
+    # Accepts calls without answering; grants are applied much later.
     frozen: bool = False
     listed: bool = True
-    # Its path lets nothing through; what was sent may still arrive in time.
+    # The network path is cut; messages in flight may still arrive in time.
     cut: bool = False
-    # The process that listens at its address after it ended.
+    # The process that listens at the address after this one has ended.
     successor: 'ServerModel | None' = None
     held: list[Held] = dataclasses.field(default_factory=list)
     seen: list[tuple[int, int, int]] = dataclasses.field(default_factory=list)
 
     def grant(self, first, last, fence, hold_ms, arrived, now):
-        """Applies a grant; its time runs from its arrival."""
+        """Applies a grant, whose hold starts at its arrival."""
         if any(begin <= last and end >= first and seen > fence
                for begin, end, seen in self.seen):
             return ownership.CallOutcome.REFUSED
@@ -63,7 +64,7 @@
         return ownership.CallOutcome.DONE
 
     def release(self, first, last):
-        """Takes keys back."""
+        """Withdraws keys from the server."""
         kept = []
         for item in self.held:
             if item.last < first or item.first > last:
@@ -84,7 +85,7 @@
 
 @dataclasses.dataclass
 class CoordinatorModel:
-    """A coordinator and what it still believes."""
+    """A coordinator with its lease, connections and access to the store."""
 
     state: ownership.Coordination
     kept_at: float
@@ -94,7 +95,7 @@
 
 
 class World:
-    """Servers, a store with the assignment, and coordinators."""
+    """Simulates servers, coordinators and a store with the assignment."""
 
     def __init__(self, seed: int, servers: int = 6):
         self.random = random.Random(seed)
@@ -119,7 +120,7 @@
         self.breaches: list[str] = []
 
     def add_server(self, address: str = '') -> str:
-        """Starts a server and lists it."""
+        """Starts a server, registers it and returns its id."""
         self.number += 1
         name = f's{self.number}'
         entry = tables.Server(name, SERVICE, address or f'{name}:1', 'd1', 2,
@@ -129,11 +130,14 @@
         return name
 
     def restart(self, name: str, listed_after_ms: float) -> str:
-        """Ends a server's process and starts another one in its place.
+        """Ends a server's process and starts another one at its address.
 
         Args:
-          name: The server.
-          listed_after_ms: When the store lists it.
+          name: Id of the server.
+          listed_after_ms: Delay before the new process is registered, ms.
+
+        Returns:
+          Id of the new server.
         """
         old = self.servers[name]
         new_name = self.add_server(old.entry.address)
@@ -152,14 +156,14 @@
         return new_name
 
     def find_listening(self, name: str) -> ServerModel:
-        """Returns the process at a server's address."""
+        """Returns the process that now listens at a server's address."""
         model = self.servers[name]
         while model.successor is not None:
             model = model.successor
         return model
 
     def list_servers(self) -> dict[str, tables.Server]:
-        """Returns what the store lists."""
+        """Returns the registered servers, by id."""
         return {
             name: server.entry
             for name, server in self.servers.items()
@@ -167,7 +171,7 @@
         }
 
     def run(self, ms: float) -> None:
-        """Lets time pass."""
+        """Advances the time in steps and checks the invariants after each."""
         until = self.now + ms
         while self.now < until:
             self.now += STEP_MS
@@ -178,7 +182,7 @@
             self._check()
 
     def take_over(self) -> None:
-        """Another coordinator takes the role; the old one may go on."""
+        """Starts another coordinator. The old one may continue to run."""
         following = coordination.make_next_assignment(self.saved)
         self.revision += 1
         self.saved = following
@@ -191,7 +195,7 @@
                 coordination.start_coordination(following, self.revision,
                                                 self.now, 'old.1'), self.now))
 
-    def owner_count(self, key: int) -> int:
+    def count_owners(self, key: int) -> int:
         """Returns how many servers hold a key."""
         return sum(
             server.holds(key, self.now) for server in self.servers.values())
@@ -240,7 +244,7 @@
             self._save(item, action)
 
     def _grant(self, item, action) -> None:
-        """Sends a grant, perhaps after it has waited for a free thread."""
+        """Sends a grant, possibly after a wait for a free thread."""
         wait_ms = self.random.uniform(0, self.queue_ms)
         if wait_ms:
             self._after(wait_ms, lambda: self._send_grant(item, action))
@@ -278,7 +282,7 @@
                                  action.hold_ms, arrived, self.now)
             if (answer is ownership.CallOutcome.DONE and
                     model.holds(keys.first, self.now)):
-                self._note_taken(model, keys, action.fence)
+                self._check_accepted_fence(model, keys, action.fence)
             return answer
 
         def give_up():
@@ -310,7 +314,7 @@
             self._after(4, answer_later)
 
     def _is_linked(self, item, action, model) -> bool:
-        """Returns whether a grant may go to the process that listens now."""
+        """Returns whether the connection that a grant requires is open."""
         known = item.links.get(action.server.id)
         if known is not None and (known[1] != model.entry.id or not model.up):
             del item.links[action.server.id]
@@ -319,15 +323,19 @@
                                        known[0] == action.link)
 
     def _connect(self, item, action, model) -> int:
-        """Returns the connection that carries a grant."""
+        """Returns the number of the connection that carries a grant."""
         known = item.links.get(action.server.id)
         if known is None:
             self.number += 1
             known = item.links[action.server.id] = (self.number, model.entry.id)
         return known[0]
 
-    def _note_taken(self, model, keys, fence) -> None:
-        """Checks that a process takes keys above all fences of the others."""
+    def _check_accepted_fence(self, model, keys, fence) -> None:
+        """Records a breach if another process had the keys with this token.
+
+        A process must accept keys only with a fencing token above those of all
+        other processes.
+        """
         row = (keys.first, keys.last, fence, model.entry.id)
         if row in self.taken:
             return
@@ -397,17 +405,17 @@
         self._after(5, apply)
 
     def _check(self) -> None:
-        marks = [(item.first, item.last, name)
-                 for name, server in self.servers.items() if server.up
-                 for item in server.held if item.until > self.now]
-        marks.sort()
-        for one, two in zip(marks, marks[1:], strict=False):
+        held_ranges = [(item.first, item.last, name)
+                       for name, server in self.servers.items() if server.up
+                       for item in server.held if item.until > self.now]
+        held_ranges.sort()
+        for one, two in zip(held_ranges, held_ranges[1:], strict=False):
             if two[0] <= one[1] and one[2] != two[2]:
                 self.breaches.append(f'{self.now:.0f} ms: {one} and {two}')
 
 
 def find_end(sent_at: float) -> float:
-    """Returns when a usual grant has surely ended."""
+    """Returns the latest expiry of a hold of the default duration, ms."""
     return holds.compute_expiry(sent_at, ownership.HOLD_MS)
 
 
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -1,4 +1,8 @@
-"""Tests of the coordinator: no two owners at once, keys served again soon."""
+"""Tests of the coordinator.
+
+No two servers may hold a key at the same time, and keys must soon be served
+again after faults.
+"""
 
 import dataclasses
 import random
@@ -16,35 +20,40 @@
 _SEEDS = 60
 
 
-def _covered(world) -> bool:
+def _all_keys_owned(world) -> bool:
     step = tables.KEYS // 200
     return all(
-        world.owner_count(key) == 1 for key in range(0, tables.KEYS, step))
+        world.count_owners(key) == 1 for key in range(0, tables.KEYS, step))
 
 
 def _find_longest_gap(world, ms: float) -> float:
-    """Returns the longest time without one owner of a key, of the next ones."""
+    """Runs the world and returns the longest time without exactly one owner.
+
+    Args:
+      world: The simulation.
+      ms: How long to run it, ms.
+    """
     gaps = dict.fromkeys(range(0, tables.KEYS, tables.KEYS // 200), 0.0)
     longest = 0.0
     for _ in range(round(ms / edgeworlds.STEP_MS)):
         world.run(edgeworlds.STEP_MS)
         for key in gaps:
             gaps[key] += edgeworlds.STEP_MS
-            if world.owner_count(key) == 1:
+            if world.count_owners(key) == 1:
                 gaps[key] = 0.0
         longest = max(longest, *gaps.values())
     return longest
 
 
-class CalmTest(unittest.TestCase):
+class NormalOperationTest(unittest.TestCase):
 
     def test_all_keys_are_granted_at_once_and_stay_granted(self):
         world = edgeworlds.World(1)
         world.run(200)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
         for _ in range(20):
             world.run(500)
-            self.assertTrue(_covered(world))
+            self.assertTrue(_all_keys_owned(world))
         self.assertEqual(world.breaches, [])
 
     def test_a_server_that_drains_hands_its_keys_over_within_a_second(self):
@@ -54,7 +63,7 @@
         model.entry = _drain(model.entry)
         world.run(1_000)
         self.assertFalse(model.held)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
         self.assertEqual(world.breaches, [])
 
     def test_a_server_that_joins_gets_keys_within_two_seconds(self):
@@ -63,7 +72,7 @@
         name = world.add_server()
         world.run(2_000)
         self.assertTrue(world.servers[name].held)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
         self.assertEqual(world.breaches, [])
 
     def test_hot_neighbours_are_split_apart(self):
@@ -79,7 +88,7 @@
         self.assertGreaterEqual(len(owners), 3)
         self.assertEqual(world.breaches, [])
 
-    def test_ranges_don_t_pile_up_when_hot_keys_move(self):
+    def test_the_number_of_ranges_stays_limited_when_hot_keys_move(self):
         world = edgeworlds.World(5)
         world.run(1_000)
         for start in range(1_000, 60_000, 4_000):
@@ -90,14 +99,14 @@
         self.assertEqual(world.breaches, [])
 
 
-class LossTest(unittest.TestCase):
+class FailureTest(unittest.TestCase):
 
     def test_keys_of_a_crashed_server_move_when_its_hold_has_run_out(self):
         world = edgeworlds.World(6)
         world.run(3_000)
         world.servers['s2'].up = False
         world.run(ownership.HOLD_MS + 1_500)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
 
     def test_a_restart_at_the_address_proves_the_end_of_the_old_lifetime(self):
         world = edgeworlds.World(7)
@@ -107,26 +116,27 @@
         world.servers['s2'].listed = False
         world.add_server(world.servers['s2'].entry.address)
         world.run(600)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
 
     def test_a_silent_server_keeps_its_keys_until_its_hold_has_run_out(self):
         world = edgeworlds.World(8)
         world.run(3_000)
         world.servers['s2'].reachable = False
         world.run(ownership.HOLD_MS + 1_500)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
         self.assertEqual(world.breaches, [])
 
     def test_calls_that_are_not_answered_do_not_prolong_the_wait(self):
-        # A frozen server took grants and answered none: each was taken to
-        # bring another 4.2 s, so that its keys stayed unserved for 8.
+        # A frozen server accepts grants without answering. When each of them
+        # was assumed to start a new hold of 4.2 s, its keys remained unserved
+        # for 8 s.
         for seed in range(8, 14):
             world = edgeworlds.World(seed)
             world.run(3_000 + 150 * seed)
             world.servers['s2'].frozen = True
             world.run(ownership.HOLD_MS * (1.03 + ownership.RENEW_FRACTION) +
                       700)
-            self.assertTrue(_covered(world), seed)
+            self.assertTrue(_all_keys_owned(world), seed)
             world.servers['s2'].frozen = False
             world.run(9_000)
             self.assertEqual(world.breaches, [])
@@ -147,8 +157,8 @@
         self.assertLess(state.renewals[grant.key_range].due_at, 400.0)
 
     def test_a_server_that_answers_again_keeps_what_nobody_got_yet(self):
-        # After all entries lost power, keys of servers that were off the list
-        # for a while stayed unserved for 22 s though they were back.
+        # After a power failure of all entries, keys of servers that were not
+        # registered for a while remained unserved for 22 s after their return.
         world = edgeworlds.World(12)
         world.run(3_000)
         model = world.servers['s2']
@@ -158,12 +168,12 @@
         world.run(3_000)
         model.listed = model.reachable = True
         world.run(2_500)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
         self.assertEqual(world.breaches, [])
 
     def test_grants_that_wait_for_a_thread_are_not_overtaken_by_a_move(self):
-        # Calls to servers that didn't answer filled all threads for 5 s after
-        # a takeover; keys moved before their owners' grants were even sent.
+        # Calls to unresponsive servers occupied all threads for 5 s after a
+        # takeover, so that keys moved before their owners' grants were sent.
         for seed in range(20):
             world = edgeworlds.World(seed)
             world.run(3_000)
@@ -186,7 +196,7 @@
         coordination.handle_predecessor_ended(world.coordinators[1].state,
                                               world.now)
         world.run(ownership.HOLD_MS * 1.03 + 500)
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
 
     def test_a_new_coordinator_waits_for_a_server_only_the_old_one_reaches(
             self):
@@ -210,7 +220,8 @@
         self.assertEqual(world.breaches, [])
 
     def test_a_plan_moves_no_key_twice(self):
-        # A chain of two moves granted a key while the first target held it.
+        # Two consecutive moves of a key in one plan granted it to the second
+        # target while the first one held it.
         loads = keyloads.KeyLoads({100: 90.0, 101: 90.0, 30_000: 5.0})
         ranges = [
             edgeworlds.make_range(0, 20_000, 'a'),
@@ -223,7 +234,7 @@
         for one, two in zip(taken, taken[1:], strict=False):
             self.assertLess(one[1], two[0])
 
-    def test_a_refusal_of_what_was_joined_since_is_no_loss_of_the_role(self):
+    def test_a_refusal_of_a_merged_range_does_not_end_the_role(self):
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
         state = coordination.start_coordination(assignment, 1, 0.0, None)
@@ -246,7 +257,7 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    """A coordinator begins while it can't see or hasn't asked some owners."""
+    """A coordinator starts while some owners are unregistered or not called."""
 
     def _take_over(self, world):
         world.take_over()
@@ -264,12 +275,12 @@
             self._take_over(world)
             for _ in range(14):
                 world.run(100)
-                self.assertTrue(_covered(world), seed)
+                self.assertTrue(_all_keys_owned(world), seed)
             for name in lapsed:
                 world.servers[name].listed = True
             for _ in range(60):
                 world.run(100)
-                self.assertTrue(_covered(world), seed)
+                self.assertTrue(_all_keys_owned(world), seed)
             self.assertEqual({item.server for item in world.saved.ranges},
                              before)
             self.assertEqual(world.breaches, [])
@@ -282,7 +293,7 @@
         world.run(ownership.RETURN_GRACE_MS + 1_000)
         self.assertFalse(any(
             item.server == 's2' for item in world.saved.ranges))
-        self.assertTrue(_covered(world))
+        self.assertTrue(_all_keys_owned(world))
         self.assertEqual(world.breaches, [])
 
     def test_an_owner_that_drains_meanwhile_hands_over_within_a_second(self):
@@ -293,7 +304,7 @@
             leaving.entry = dataclasses.replace(leaving.entry, draining=True)
             self._take_over(world)
             world.run(1_000)
-            self.assertTrue(_covered(world), seed)
+            self.assertTrue(_all_keys_owned(world), seed)
             self.assertFalse(leaving.held, seed)
             self.assertEqual(world.breaches, [])
 
@@ -313,7 +324,7 @@
 
 
 class RestartTest(unittest.TestCase):
-    """A server starts again in its place, known or not yet known of."""
+    """A server restarts at its address, before or after it is registered."""
 
     def test_grants_that_reach_the_new_process_make_no_second_owner(self):
         for seed in range(_SEEDS):
@@ -323,7 +334,7 @@
             world.restart('s2', world.random.uniform(0, 1_500))
             world.run(6_000)
             self.assertEqual(world.breaches[:2], [], seed)
-            self.assertTrue(_covered(world), seed)
+            self.assertTrue(_all_keys_owned(world), seed)
 
     def test_its_keys_are_served_again_soon_under_higher_fences(self):
         for seed in range(12):
@@ -332,7 +343,7 @@
             before = world.saved.next_fence
             new = world.restart('s2', 300.0)
             world.run(1_200)
-            self.assertTrue(_covered(world), seed)
+            self.assertTrue(_all_keys_owned(world), seed)
             self.assertTrue(
                 all(item.fence >= before
                     for item in world.saved.ranges
@@ -347,15 +358,16 @@
             world.servers[new].entry = dataclasses.replace(entry, draining=True)
             world.run(6_000)
             self.assertEqual(world.breaches[:2], [], seed)
-            self.assertTrue(_covered(world), seed)
+            self.assertTrue(_all_keys_owned(world), seed)
 
 
 class EndedServerTest(unittest.TestCase):
-    """A server is said to have ended, and no other listens at its address."""
+    """A server is reported as ended, and no other listens at its address."""
 
     def test_its_keys_wait_until_its_holds_have_run_out(self):
-        # A late entry of another service at its address would end a server that
-        # is up, and its keys would go to another one while it holds them.
+        # A late registration of another service at the address can mark a
+        # running server as ended. Without the wait, its keys would be granted
+        # to another server while it holds them.
         world = edgeworlds.World(31)
         world.run(2_000)
         state = world.coordinators[0].state
@@ -376,8 +388,8 @@
             any(isinstance(item, ownership.Save) for item in actions))
 
 
-class LooseGrantTest(unittest.TestCase):
-    """A renewal got no answer, and the server turns hot."""
+class UnansweredGrantTest(unittest.TestCase):
+    """A renewal gets no answer, and the server becomes overloaded."""
 
     def _make_world(self, seed: int) -> edgeworlds.World:
         world = edgeworlds.World(seed)
@@ -388,8 +400,8 @@
         return world
 
     def test_its_keys_move_within_two_seconds(self):
-        # A full server reset connections; its keys stayed for the 4.2 s after
-        # which a lost renewal has run out.
+        # An overloaded server reset connections, and its keys could not move
+        # for the 4.2 s until the hold of the lost renewal expired.
         for seed in range(10):
             world = self._make_world(seed)
             hot = world.saved.ranges[0]
@@ -416,10 +428,15 @@
 
 
 class LateArrivalTest(unittest.TestCase):
-    """A grant arrives any time before it is answered or given up."""
+    """A grant may arrive at any time before it is answered or times out."""
 
     def _note(self, answer: ownership.CallOutcome, now: float) -> float:
-        """Returns until when keys count as held that were granted at 0."""
+        """Returns the expiry of the hold of a grant that was sent at 0 ms.
+
+        Args:
+          answer: Outcome of the grant.
+          now: When it was answered or timed out, ms.
+        """
         assignment = keyranges.Assignment(
             'stock', 1, 3, (edgeworlds.make_range(0, 9, 'a', 2),))
         state = coordination.start_coordination(assignment, 1, 0.0, None)
@@ -442,45 +459,47 @@
 
 
 class ScheduleTest(unittest.TestCase):
-    """Random schedules of faults; never two owners of a key."""
+    """Random schedules of faults must never lead to two owners of a key."""
 
     def test_no_key_has_two_owners_under_any_schedule(self):
         for seed in range(_SEEDS):
             with self.subTest(seed=seed):
-                world = _play(seed)
+                world = _run_schedule(seed)
                 self.assertEqual(world.breaches[:3], [])
 
-    def test_nor_under_one_with_servers_that_freeze(self):
+    def test_no_key_has_two_owners_if_servers_freeze(self):
         for seed in range(_SEEDS):
             with self.subTest(seed=seed):
-                self.assertEqual(_play(seed, freezes=True).breaches[:3], [])
+                self.assertEqual(
+                    _run_schedule(seed, freezes=True).breaches[:3], [])
 
-    def test_nor_under_one_with_paths_that_go_silent_for_a_while(self):
+    def test_no_key_has_two_owners_if_paths_are_cut_for_a_while(self):
         for seed in range(_SEEDS):
             with self.subTest(seed=seed):
-                self.assertEqual(_play(seed, cuts=True).breaches[:3], [])
+                self.assertEqual(
+                    _run_schedule(seed, cuts=True).breaches[:3], [])
 
     def test_all_keys_are_served_again_after_the_faults(self):
         for seed in range(0, _SEEDS, 6):
             with self.subTest(seed=seed):
-                world = _play(seed)
+                world = _run_schedule(seed)
                 world.late_share = world.lost_share = world.queue_ms = 0.0
                 world.run(ownership.MAX_OFFLINE_MS + ownership.HOLD_MS * 1.03 +
                           3_000)
-                # A key that moves has no owner for the time of a release.
+                # A moving key has no owner while its release is in flight.
                 self.assertLessEqual(_find_longest_gap(world, 2_000.0), 200.0)
                 self.assertEqual(world.breaches[:3], [])
 
 
-def _play(seed: int,
-          freezes: bool = False,
-          cuts: bool = False) -> edgeworlds.World:
+def _run_schedule(seed: int,
+                  freezes: bool = False,
+                  cuts: bool = False) -> edgeworlds.World:
     world = edgeworlds.World(seed)
     world.delay_share = 0.2 if cuts else 0.0
     draw, frost = random.Random(seed), random.Random(seed)
     world.run(1_000)
     for _ in range(14):
-        _disturb(world, draw)
+        _inject_fault(world, draw)
         if freezes and frost.random() < 0.3:
             model = world.servers[frost.choice(list(world.servers))]
             model.frozen = not model.frozen
@@ -495,7 +514,7 @@
     return world
 
 
-def _disturb(world: edgeworlds.World, draw: random.Random) -> None:
+def _inject_fault(world: edgeworlds.World, draw: random.Random) -> None:
     names = [
         name for name, model in world.servers.items()
         if model.up and model.listed
--- a/tests/test_edge_fences.py
+++ b/tests/test_edge_fences.py
@@ -1,4 +1,4 @@
-"""Tests of the fences that keys are granted under."""
+"""Tests of the fencing tokens of grants."""
 
 import unittest
 
@@ -23,14 +23,14 @@
 
 
 class SaveWhileFencesChangeTest(unittest.TestCase):
-    """A connection ends while an assignment is being saved."""
+    """A connection is closed while a save of an assignment is in flight."""
 
     def setUp(self):
         super().setUp()
         self.model = edgeworlds.ServerModel(_make_server('a'), 1.0)
 
     def _answer(self, state, actions, now, link):
-        """Has the server answer grants over a connection."""
+        """Answers the grants to server a over a connection."""
         for grant in actions:
             if not isinstance(grant, ownership.Grant) or (grant.server.id
                                                           != 'a'):
@@ -57,7 +57,7 @@
         for now in (5.0, 10.0):
             self._answer(state, coordination.plan_actions(state, view, now),
                          now, 1)
-        # The store answers after 0.8 s. The connection ended meanwhile.
+        # The store answers after 0.8 s. Meanwhile the connection was closed.
         for now in (770.0, 775.0, 780.0, 785.0):
             self._answer(state, coordination.plan_actions(state, view, now),
                          now, 2)
@@ -70,7 +70,11 @@
 
 
 class TwoGrantsOfOneFenceTest(unittest.TestCase):
-    """A part of a range moves out, and those beside it are renewed."""
+    """The middle of a range moves, and the parts on both sides are renewed.
+
+    If the process restarts between the two grants, they are carried by two
+    connections, to two processes. The token must remain bound to the first.
+    """
 
     def test_a_fence_stays_with_the_connection_that_carried_it_first(self):
         ranges = (keyranges.KeyRange(0, tables.KEYS - 1, 'a', 2),)
@@ -84,14 +88,14 @@
         renewal = state.renewals[ranges[0]]
         ownership.replace_fence(state, renewal, 1)
         renewal.due_at = 0.0
-        # The middle is about to move, so that both ends are renewed.
+        # The middle is about to move, so that both other parts are renewed.
         state.moves.append(
             ownership.Move(rebalancing.Transfer(100, 200, 'a', 'b'),
                            ownership.Phase.RELEASING, 0.0))
         state.rebalanced_at = 1e9
         one, two = coordination.plan_actions(state, view, 10.0)
         self.assertEqual((one.fence, one.link), (two.fence, two.link))
-        # Its process ended, and another one started, between the two.
+        # Between the two, the process ended and another one started.
         coordination.handle_grant_result(state, one,
                                          ownership.GrantResult(_Answer.DONE, 7),
                                          10.0, 11.0)
@@ -103,7 +107,7 @@
             x for x in coordination.plan_actions(state, view, 20.0)
             if isinstance(x, ownership.Grant) and x.key_range == one.key_range
         ]
-        # What connection 7 carried must not go to the process behind 8.
+        # The token that connection 7 carried must not be sent over 8.
         self.assertFalse(again and again[0].fence == one.fence and
                          again[0].link == 8)
 
--- a/tests/test_edge_rebalancing.py
+++ b/tests/test_edge_rebalancing.py
@@ -1,4 +1,4 @@
-"""Which keys move to which server."""
+"""Tests of the planning of transfers that balance load."""
 
 import random
 import unittest
@@ -17,7 +17,7 @@
 
 
 def _spread(total: float) -> dict[int, float]:
-    """Returns a load spread over keys, repeatably."""
+    """Returns a load spread over random keys, with a fixed seed."""
     draw = random.Random(7)
     loads: dict[int, float] = {}
     for _ in range(int(total)):
@@ -44,7 +44,7 @@
             {key: 5.0 for key in range(0, tables.KEYS, 1_024)})
 
     def test_keys_move_in_runs(self):
-        # Guards against moving each key separately or to its current owner.
+        # Keys must not move one by one or to their current owner.
         transfers = rebalancing.plan_transfers(self.ranges, self.loads,
                                                self.capacities)
         self.assertTrue(all(item.source != item.target for item in transfers))
@@ -57,7 +57,7 @@
 
 
 class HeavyKeyTest(unittest.TestCase):
-    """One key takes more than any server's share; it can't be split."""
+    """The load of one key exceeds every server's share."""
 
     def setUp(self):
         super().setUp()
@@ -92,7 +92,7 @@
             most = 60.0 if server == 'fast' else share
             self.assertLess(load, most * 1.1 + most**0.5)
 
-    def test_the_log_can_tell_that_one_key_is_the_cause(self):
+    def test_the_imbalance_summary_names_the_heavy_key(self):
         found = rebalancing.measure_imbalance(self.ranges, self.loads, SPEEDS)
         self.assertEqual((found.heaviest_key, found.heaviest_load), (HOT, 60.0))
         owner = keyranges.find_range(self.ranges, HOT).server
@@ -108,7 +108,7 @@
             self.assertFalse(item.first <= HOT <= item.last)
             self.assertNotEqual(item.target, owner)
 
-    def test_two_of_them_do_not_meet_at_one_server(self):
+    def test_two_heavy_keys_go_to_different_servers(self):
         loads = _spread(140)
         loads.update({HOT: 60.0, HOT + 1: 50.0})
         self.loads = keyloads.KeyLoads(loads)
--- a/tests/test_edge_restore.py
+++ b/tests/test_edge_restore.py
@@ -78,7 +78,7 @@
     until = world.now + 1_000
     while world.now < until:
         if all(
-                world.owner_count(key) == 1
+                world.count_owners(key) == 1
                 for key in range(0, tables.KEYS, 512)):
             return True
         world.run(edgeworlds.STEP_MS)
--- a/tests/test_edge_saves.py
+++ b/tests/test_edge_saves.py
@@ -1,4 +1,4 @@
-"""Tests of saves whose answer is lost."""
+"""Tests of saves whose response is lost."""
 
 import unittest
 from unittest import mock
@@ -23,7 +23,11 @@
 
 
 class UnansweredSaveTest(unittest.TestCase):
-    """The store carries out a save, and its answer is lost."""
+    """The store executes a save, and its response is lost.
+
+    The source of the saved move is reachable again meanwhile and could get its
+    keys back, while a successor reads that they belong to the target.
+    """
 
     def setUp(self):
         super().setUp()
@@ -35,7 +39,7 @@
         self.shared = []
 
     def _step(self, state, now):
-        """Plans; servers answer unless cut. Returns the saves."""
+        """Plans actions and answers them, unless cut off; returns the saves."""
         view = ownership.ServiceView(
             {
                 name: item.entry for name, item in self.models.items()
@@ -76,13 +80,13 @@
         while now < 1_000:
             now += 20.0
             self._step(state, now)
-        self.cut = True  # The path to a.
+        self.cut = True  # Cuts the path to a.
         while not saves and now < 20_000:
             now += 20.0
             saves = self._step(state, now)
         self.assertTrue(saves)
-        # The store executes it; the answer is lost, known after 1.2 s. The
-        # path to a is back meanwhile.
+        # The store executes the save, but the response is lost, which is
+        # detected after 1.2 s. Meanwhile the path to a is restored.
         stored, self.cut = saves[0].assignment, False
         until = now + 1_200.0
         while now < until:
@@ -94,7 +98,8 @@
             now += 20.0
             resent += self._step(state, now)
         self.assertTrue(resent)
-        # Another entry takes over, or this one anew: it reads what is stored.
+        # Another entry, or this one again, takes over with the stored
+        # assignment.
         following = coordination.start_coordination(
             coordination.make_next_assignment(stored, 'x.2'), 3, now, 'x.1')
         following.rebalanced_at = 1e9
@@ -105,7 +110,10 @@
 
 
 class RepeatedWriteTest(unittest.TestCase):
-    """A conditional write gets no answer, and its repeat is turned away."""
+    """A conditional write times out, and its retry is refused.
+
+    The retry's response must not hide that the first write may be executed.
+    """
 
     def test_whether_it_was_carried_out_is_not_known(self):
         replies = [
