--- a/lentilmoor/edge/staleness.py
+++ b/lentilmoor/edge/staleness.py
@@ -1,14 +1,16 @@
-"""How old an entry's copy of the store may be when the entry decides by it.
-
-The operator bounds the time from the store's acknowledgement of a change to
-its effect. So a decision that this concerns takes a copy that is known to have
-been complete a short while ago; a slow, hung or silent hop on the way from the
-store costs availability, not the promise. Limits of that way are parts of the
-bound.
-
-While the store is away from everybody it acknowledges nothing, and refusing
-would help nobody: an entry that can't reach it goes on by an old copy if enough
-others say that they can't either.
+"""Limits on the age of the copy of the store by which an entry decides.
+
+The operator sets an upper bound on the time from the store's acknowledgement of
+a change to its effect. Decisions that this bound concerns therefore need a copy
+that is known to have been complete a short while ago. A slow, hung or silent
+hop between the store and the entry then costs availability, but never breaks
+the bound. The timeouts and pauses on the way from the store are fractions of
+the bound.
+
+While no entry can reach the store, the store acknowledges no change, and
+refusing requests would protect nothing. An entry that can't reach the store
+therefore goes on with an old copy if enough other entries report that they
+can't reach it either.
 """
 
 import collections
@@ -20,69 +22,83 @@
 from lentilmoor import clocks
 from lentilmoor import exceptions
 
-# Parts of the bound.
-# Left for a request's way to the server after the last check.
+# Fractions and factors of the bound.
+# Time for a request to reach the server after the last check of the copy's age.
 DELIVERY_MARGIN_FRACTION = 0.25
-# Left when the last request is sent to a leaving server that alone may run it.
+# Time that remains when a leaving server that alone may run a request is sent
+# its last one.
 LAST_REQUEST_MARGIN_FRACTION = 0.5
-# Age from which an entry asks any others for a newer copy, and relays look at
-# the store; what usually passes on the way from the store stays below it.
+# Age from which an entry asks random other entries for a newer copy, and relays
+# read the store. It is above the usual delay on the way from the store.
 REFRESH_AGE_FRACTION = 0.5
-# Age from which some of those that relays tell look at the store as well.
+# Age from which some of the entries that relays send news to also read the
+# store.
 STORE_CHECK_AGE_FRACTION = 0.65
-# A question waits so long for a change, and its reply may take so much more.
+# How long a request for news waits for a change, and how long its reply may
+# take beyond that.
 POLL_WAIT_FRACTION = 0.1
 POLL_REPLY_FRACTION = 0.2
-# Pause between two questions to any others.
+# Pause between two requests to random other entries.
 REFRESH_PAUSE_FRACTION = 0.05
-# A watch waits so long for a change, and its answer may take so much more.
+# How long a watch of the store waits for a change, and how long its answer may
+# take beyond that.
 WATCH_WAIT_FRACTION = 0.2
 WATCH_REPLY_FRACTION = 0.25
-# Pauses between two watches of who follows for others, and of all others.
+# Pauses between two watches: of an entry that watches on behalf of others, and
+# of any other entry.
 HUB_WATCH_PAUSE_FRACTION = 0.175
 WATCH_PAUSE_FRACTION = 0.4
-# A call that isn't answered for so long shows that the store can't be reached.
+# A call that isn't answered for this long shows that the store is unreachable.
 UNREACHABLE_AFTER_FRACTION = 0.125
-# A reply of another entry counts for so long.
+# How long another entry's report that the store is unreachable stays valid.
 REPLY_VALIDITY_FACTOR = 2.0
-# An entry that heard from nobody for so long begins to follow anew.
+# An entry that has received nothing for this long restarts following.
 SILENCE_TIMEOUT_FACTOR = 1.5
-# Age of a copy of the configuration by which a request may be routed.
+# Oldest copy of the configuration by which a request may be routed.
 MAX_ROUTE_AGE_FRACTION = 0.95
 
 MAX_HUB_WATCH_PAUSE_MS = 350.0
 MAX_WATCH_PAUSE_MS = 850.0
-# Polls and round trips don't shrink with the bound.
+# Polls and round trips don't become shorter with the bound.
 MIN_BOUND_MS = 500.0
-# Others that can't reach the store, at most, before it counts as away.
+# Reports of other entries that suffice for the store to count as unavailable,
+# however many entries there are.
 MAX_REQUIRED_REPORTS = 8
-# Pauses between questions are so much longer while the copy stays old.
+# Factor by which the pauses between requests to random other entries grow while
+# the copy stays old.
 SLOW_REFRESH_FACTOR = 2.0
 DEFAULT_BOUND_MS = 2_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Times on the way from the store to a decision, ms.
+    """Time limits between the store and a decision, ms.
 
     Attributes:
-      send_ms: Oldest copy by which a request is sent to a server.
-      route_ms: Oldest configuration by which a request is routed.
-      deny_ms: Oldest configuration by which a route is said not to exist.
-      leave_ms: Left of the bound when a leaving server gets its last request.
-      seek_ms: Age from which any others are asked.
-      seek_pause_ms: Between two such questions.
-      look_ms: Age from which some that relays tell look at the store.
-      hold_ms: How long a question waits for a change.
-      ask_ms: What its reply may take beyond that.
-      watch_ms: How long a watch waits for a change.
-      read_ms: What its answer may take beyond that.
-      lead_pause_ms: Between two watches of who follows for others.
-      follow_pause_ms: Between two watches of an entry that is told nothing.
-      silent_ms: Silence after which an entry begins to follow anew.
-      memory_ms: How long a reply of another entry counts.
-      unanswered_ms: A call of the store that isn't answered for so long shows
-        that it can't be reached.
+      max_send_age_ms: Oldest copy by which a request is sent to a server.
+      max_route_age_ms: Oldest configuration by which a request is routed.
+      max_deny_age_ms: Oldest configuration by which a request is rejected
+        because its route does not exist.
+      last_request_margin_ms: What remains of the bound when a leaving server is
+        sent its last request.
+      refresh_age_ms: Age from which random other entries are asked for a newer
+        copy.
+      refresh_pause_ms: Pause between two such requests.
+      store_check_age_ms: Age from which some of the entries that relays send
+        news to also read the store.
+      poll_wait_ms: How long a request for news waits for a change.
+      poll_reply_ms: How long its reply may take beyond that.
+      watch_wait_ms: How long a watch of the store waits for a change.
+      watch_reply_ms: How long its answer may take beyond that.
+      hub_watch_pause_ms: Pause between two watches of an entry that watches on
+        behalf of others.
+      watch_pause_ms: Pause between two watches of an entry that no other sends
+        news to.
+      silence_timeout_ms: Silence after which an entry restarts following.
+      reply_validity_ms: How long another entry's report that the store is
+        unreachable stays valid.
+      unreachable_after_ms: The store counts as unreachable when a call has had
+        no answer for this long.
     """
 
     max_send_age_ms: float
@@ -108,11 +124,12 @@
     """Derives the limits from the operator's bounds.
 
     Args:
-      drain_ms: A draining server takes no request later than this.
-      config_apply_ms: A configuration is in force by then; inf: no bound.
+      drain_ms: Time after which a draining server is sent no requests.
+      config_apply_ms: Time after which a configuration is in force everywhere;
+        infinite if there is no bound.
 
     Raises:
-      SettingsError: A bound is too short to be kept.
+      SettingsError: A bound is below `MIN_BOUND_MS`.
     """
     bound = min(drain_ms, config_apply_ms)
     if bound < MIN_BOUND_MS:
@@ -142,11 +159,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Times:
-    """Up to when a copy of the store is complete, ms.
+    """Times up to which a copy of the store is complete, ms.
 
     Attributes:
-      servers_at: All but the configuration.
-      configuration_at: The configuration.
+      servers_at: For everything but the configuration.
+      configuration_at: For the configuration.
     """
 
     servers_at: float = -math.inf
@@ -155,17 +172,19 @@
 
 @dataclasses.dataclass(slots=True)
 class Freshness:
-    """Up to when an entry's copy of the store is complete.
+    """Times up to which an entry's copy of the store is complete.
 
     Attributes:
-      known: Of the copy that the entry has, and tells others of.
-      handed: Changes that requests don't see yet: their numbers, and the
-        times of the copy before each.
-      last: Number of the last change.
-      replies: When others last said that they can't reach the store, ms, by
-        address.
-      recent_at: Up to when the most recent copy of another is complete, ms.
-      away_at: When the store last seemed to be away from everybody, ms.
+      known_times: Of the copy that the entry holds and sends to others.
+      pending_changes: Changes that request threads don't see yet: the number of
+        each, and the times of the copy before it.
+      last_change_number: Number of the last change.
+      unreachable_reports: When each other entry last reported that it can't
+        reach the store, ms, by address.
+      newest_peer_copy_at: Time up to which the most recent copy of another
+        entry is complete, ms.
+      store_unavailable_at: When the store last seemed unavailable to all
+        entries, ms.
       changed: Notified when a time has advanced.
     """
 
@@ -184,9 +203,10 @@
 def record_known_times(freshness: Freshness,
                        servers_at: float = -math.inf,
                        configuration_at: float = -math.inf) -> None:
-    """Takes in up to when the copy is complete.
+    """Records times up to which the copy is complete, ms.
 
-    Changes up to then must have been handed over before.
+    All changes up to these times must have been passed to `add_pending_change`
+    before. A time never goes back.
     """
     with freshness.changed:
         known = freshness.known_times
@@ -197,7 +217,7 @@
 
 
 def add_pending_change(freshness: Freshness) -> int:
-    """Notes a change that requests don't see yet; returns its number."""
+    """Adds a change that request threads don't see yet; returns its number."""
     with freshness.changed:
         freshness.last_change_number += 1
         freshness.pending_changes.append(
@@ -206,7 +226,7 @@
 
 
 def mark_applied(freshness: Freshness, number: int) -> None:
-    """Notes that requests see all changes up to a number."""
+    """Records that request threads see all changes up to a number."""
     with freshness.changed:
         while freshness.pending_changes and freshness.pending_changes[0][
                 0] <= number:
@@ -215,7 +235,7 @@
 
 
 def find_applied_times(freshness: Freshness) -> Times:
-    """Returns up to when what requests see is complete."""
+    """Returns the times up to which what request threads see is complete."""
     with freshness.changed:
         return freshness.pending_changes[0][
             1] if freshness.pending_changes else freshness.known_times
@@ -223,13 +243,13 @@
 
 def record_unreachable_report(freshness: Freshness, address: str,
                               now: float) -> None:
-    """Notes that another entry said that it can't reach the store."""
+    """Records another entry's report that it can't reach the store."""
     with freshness.changed:
         freshness.unreachable_reports[address] = now
 
 
 def record_peer_copy(freshness: Freshness, known_at: float) -> None:
-    """Notes up to when the copy of another entry is complete, ms."""
+    """Records the time up to which another entry's copy is complete, ms."""
     with freshness.changed:
         freshness.newest_peer_copy_at = max(freshness.newest_peer_copy_at,
                                             known_at)
@@ -238,14 +258,17 @@
 def is_store_unavailable(freshness: Freshness, others: Collection[str],
                          unanswered_ms: float, now: float,
                          limits: Limits) -> bool:
-    """Returns whether the store seems to be away from everybody.
+    """Returns whether the store seems to be unavailable to all entries.
+
+    At least half of the other entries, but never more than
+    `MAX_REQUIRED_REPORTS`, must have reported that they can't reach it.
 
     Args:
-      freshness: Holds the replies.
+      freshness: Holds the reports of the other entries.
       others: Addresses of the other entries.
-      unanswered_ms: For how long it has answered this entry nothing.
-      now: ms.
-      limits: The limits.
+      unanswered_ms: For how long the store has not answered this entry.
+      now: Current time, ms.
+      limits: Limits of the age of the copy.
     """
     needed = min(MAX_REQUIRED_REPORTS, math.ceil(len(others) / 2))
     with freshness.changed:
@@ -262,6 +285,6 @@
 
 
 def wait_for_change(freshness: Freshness, wait_ms: float) -> None:
-    """Waits until a time has advanced, or a time is over."""
+    """Waits until a time has advanced, for at most `wait_ms`."""
     with freshness.changed:
         freshness.changed.wait(max(0.0, wait_ms) / clocks.MS_PER_S)
