--- a/lentilmoor/edge/ports.py
+++ b/lentilmoor/edge/ports.py
@@ -1,7 +1,7 @@
-"""What an entry needs of the platform; an adapter implements it.
+"""Interface between an entry and the platform; an adapter implements it.
 
-Nothing here knows a wire name. Calls block until they are answered or their
-time is over, and report failures as values.
+Nothing in this module depends on the platform's wire names. Calls block until
+they are answered or time out, and return failures as values.
 """
 
 from collections.abc import Callable
@@ -16,25 +16,26 @@
 from lentilmoor.edge import staleness
 from lentilmoor.edge import tables
 
-# Below these a machine is small: on its link grants would wait behind replies
-# to the reports of many entries, until servers hold no keys.
+# A machine below either of these is too small to coordinate many entries: on
+# its link, grants would queue behind the replies to the entries' reports until
+# servers hold no keys.
 MIN_COORDINATOR_LINK_MBPS = 50.0
 MIN_COORDINATOR_CORES = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the operator promises and expects; times in ms.
+    """Bounds that the operator guarantees or expects; times in ms.
 
     Attributes:
-      drain_ms: A draining server takes no request later than this.
-      grace_ms: From SIGTERM to SIGKILL.
-      retry_ratio: Repeats to a service per request for it.
-      retry_slack: Repeats beyond that, by all entries together.
-      retry_window_ms: Span over which repeats are counted.
-      hold_max_ms: Longest grant.
-      config_apply_ms: A configuration is in force everywhere by then; no limit
-        if the operator names none.
+      drain_ms: Time after which a draining server accepts no requests.
+      grace_ms: Time from SIGTERM to SIGKILL.
+      retry_ratio: Retries to a service per request to it.
+      retry_slack: Retries allowed beyond that, by all entries together.
+      retry_window_ms: Time span over which retries are counted.
+      hold_max_ms: Longest duration of a grant.
+      config_apply_ms: Time after which a configuration is in force everywhere;
+        infinite if the operator sets no bound.
     """
 
     drain_ms: float
@@ -51,16 +52,16 @@
     """An entry's own settings.
 
     Attributes:
-      instance: Its instance id.
-      domain: Its failure domain.
-      callers: host:port for callers.
-      ready: host:port of the balancer's readiness check.
-      control: host:port for the other entries.
-      metrics: host:port where metrics are shown.
-      seeds: host:port of some other entries; they may be down.
-      cores: Processor time it may use, in cores.
-      link_mbps: Speed of its link, Mbit/s.
-      bounds: What the operator promises and expects.
+      instance: Instance id of the entry.
+      domain: Failure domain of the entry.
+      callers: host:port on which callers connect.
+      ready: host:port of the readiness check for the load balancer.
+      control: host:port on which other entries connect.
+      metrics: host:port on which metrics are served.
+      seeds: host:port of some other entries, which may be down.
+      cores: Processor time that the entry may use, in cores.
+      link_mbps: Speed of the network link, Mbit/s.
+      bounds: Bounds that the operator guarantees or expects.
       first_start: Whether the whole system starts for the first time, so that
         no earlier process of this entry has run.
     """
@@ -85,20 +86,20 @@
 
     @property
     def limits(self) -> staleness.Limits:
-        """How old what is known of the store may be."""
+        """How old the copy of the store may be for each kind of decision."""
         return staleness.make_limits(self.bounds.drain_ms,
                                      self.bounds.config_apply_ms)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Peer:
-    """Another entry, or this one as the others know it.
+    """An entry as registered with the platform and seen by other entries.
 
     Attributes:
       instance: Its id, new with each start of its process.
-      address: host:port for the other entries.
+      address: host:port on which other entries connect.
       small: Whether its machine is too small to coordinate many entries.
-      domain: Its failure domain; '' if it doesn't say.
+      domain: Its failure domain; empty if it names none.
       registration_revision: Store revision of its registration, or of its
         election if it is a coordinator; 0 if unknown.
     """
@@ -111,13 +112,13 @@
 
 
 def make_peer(instance: str, settings: Settings) -> Peer:
-    """Returns this entry as the others know it."""
+    """Returns the `Peer` under which this entry registers."""
     return Peer(instance, settings.control, settings.small, settings.domain)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SavedAssignment:
-    """An assignment and the store's revision of it."""
+    """An assignment and the store revision at which it was saved."""
 
     assignment: keyranges.Assignment
     revision: int
@@ -125,13 +126,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SavedSuspect:
-    """A request that crashes its servers (see `quarantine`).
+    """A request that crashes the servers that run it (see `quarantine`).
 
     Attributes:
-      fingerprint: Of the request.
+      fingerprint: Fingerprint of the request.
       service: The service whose servers crashed.
-      crashes: Their crashes.
-      revision: The store's revision of it; 0 if it isn't saved yet.
+      crashes: Crashes of these servers.
+      revision: Store revision at which it was saved; 0 if it isn't saved yet.
     """
 
     fingerprint: bytes
@@ -142,17 +143,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreSnapshot:
-    """All that the store holds for an entry.
+    """Everything that the store holds for an entry, at one revision.
 
     Attributes:
-      configuration: None before the first, or if it doesn't parse.
-      servers: By id.
-      coordinators: By service.
-      assignments: By service.
-      entries: Entries that registered, by instance id.
-      revision: Where to go on watching (see `revisions`).
-      news: Revision of the last change that entries must not miss: of anything
-        but assignments, which the hub tells by itself, and heartbeats.
+      configuration: None if there is none yet, or if it doesn't parse.
+      servers: Backend servers by id.
+      coordinators: Coordinators by service.
+      assignments: Saved assignments by service.
+      entries: Registered entries, by instance id.
+      revision: Revision from which to continue watching (see `revisions`).
+      required_revision: Revision of the last change that entries must not miss,
+        that is, of anything but heartbeats and assignments; the hub sends
+        assignments separately.
       suspects: Blocked requests, by the hexadecimal form of the fingerprint.
     """
 
@@ -172,8 +174,8 @@
     """A lease of the store.
 
     Attributes:
-      id: Its number.
-      ttl_ms: How long it runs from a renewal's arrival.
+      id: Number of the lease.
+      ttl_ms: Time to live, counted from when a renewal arrives at the store.
     """
 
     id: int
@@ -182,45 +184,48 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Store:
-    """The platform's store.
+    """Calls to the platform's store.
 
     Attributes:
       load: Reads everything.
-      load_configuration: Reads the configuration; a newer everything.
-      list_entries: Reads which entries are registered, or were a few seconds
-        ago.
-      watch: (everything) -> a newer everything; blocks until there is a
-        change. NOT_FOUND: the history is gone, load again.
+      load_configuration: Reads the configuration; returns a newer snapshot.
+      list_entries: Reads which entries are registered; the list may be a few
+        seconds old.
+      watch: (snapshot) -> a newer snapshot; blocks until there is a change.
+        NOT_FOUND: the store no longer has the changes since that revision, so
+        everything has to be loaded again.
       open_lease: (ttl_ms) -> a lease.
-      keep_lease: (lease) -> None, or NOT_FOUND if it has ended.
+      keep_lease: (lease) -> None, or NOT_FOUND if it has expired.
       end_lease: Ends a lease.
-      take_role: (service, peer, lease, revision of the coordinator that is
-        replaced, 0 if there is none) -> None, or CONFLICT.
-      register: (peer, lease) -> None: makes an entry known.
-      load_assignment: (service) -> the saved assignment as it is now, or None
-        if there never was one.
-      tell_news: (revision, bytes, version or None) -> what has changed since,
-        but for assignments, heartbeats and what has more than so many bytes
-        when it is compressed, empty if nothing; None if that is too long ago
-        to tell. The configuration is told to whoever names an older version.
-      merge_news: (what `tell_news` of another entry returned, its revision) ->
-        a newer everything, or None if it doesn't parse.
-      dump: (revision) -> what has changed since, or all that is known, for an
+      claim_coordination: (service, peer, lease, revision of the coordinator
+        that is replaced, 0 if there is none) -> None, or CONFLICT.
+      register: (peer, lease) -> None; registers an entry.
+      load_assignment: (service) -> the currently saved assignment, or None if
+        there has never been one.
+      encode_news: (revision, size limit in bytes, version or None) -> the
+        changes since the revision, compressed, without assignments, heartbeats
+        and changes that are larger than the limit when compressed; empty if
+        there are none, None if the revision is too old. The configuration is
+        included if the named version of it is older.
+      merge_news: (result of `encode_news` of another entry, its revision) -> a
+        newer snapshot, or None if the news doesn't parse.
+      dump: (revision) -> the changes since the revision, or everything, for an
         entry that can't reach the store.
-      restore: (dump) -> everything, or None if it doesn't parse, or begins
-        later than what is known.
+      restore: (dump) -> a snapshot, or None if the dump doesn't parse or begins
+        later than what this entry knows.
       save: (assignment, revision or 0 if there is none, service) -> revision,
-        CONFLICT, or another failure after which it may be done.
+        CONFLICT, or another failure after which it may have been saved.
       save_suspect: (suspect, with the revision of what it replaces) -> None,
-        CONFLICT, or another failure after which it may be done.
-      forget_suspect: (suspect) -> None, or a failure; deletes it if it is still
+        CONFLICT, or another failure after which it may have been saved.
+      delete_suspect: (suspect) -> None, or a failure; deletes it if it is still
         at its revision.
-      find_silence: For how long the store has answered nothing, ms; 0 if it
-        answered the last call.
-      find_era: The newest era that the store has told; 0 before the first.
-      on_restore: (callable) sets what is called when the store turns out to
-        have been restored from an older copy; until then it does nothing.
-      count_calls: How many calls were made, by kind.
+      find_unanswered_ms: Returns for how long the store has answered no call,
+        ms; 0 if it answered the last one.
+      find_era: Returns the newest era that the store has reported; 0 before the
+        first report.
+      on_restore: Sets the callable that is called when the store turns out to
+        have been restored from an older copy; by default nothing is called.
+      count_calls: Returns the number of calls made, by kind.
     """
 
     load: Callable[[], StoreSnapshot | outcomes.Failed]
@@ -252,9 +257,9 @@
     """Control calls to backend servers.
 
     Attributes:
-      grant: (grant) -> what came of it, and which connection carried it.
-        Once it is answered or given up it can't arrive any more.
-      release: (release) -> what came of it, and a hand-over token or ''.
+      grant: (grant) -> the outcome, and the connection that carried it. After
+        the call has returned, the grant can no longer arrive at the server.
+      release: (release) -> the outcome, and a hand-over token or ''.
       probe: (probe) -> DONE if the server answers.
     """
 
@@ -265,11 +270,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerHeaders:
-    """What a caller's headers say.
+    """What the headers of a caller's request state.
 
     Attributes:
-      request_id: Names this request; '' if the caller named none.
-      patience_ms: How long the caller waits; None if it doesn't say.
+      request_id: Id of the request; empty if the caller set none.
+      caller_timeout_ms: How long the caller waits; None if unknown.
       key: The request's key; None if there is none.
     """
 
@@ -280,11 +285,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServerLoad:
-    """What a server says of its load.
+    """The load that a server reports.
 
     Attributes:
       running: Requests that it runs.
-      waiting: Requests that wait in its queue.
+      waiting: Requests in its queue.
       slots: Requests that it can run at once.
     """
 
@@ -295,15 +300,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerHeaders:
-    """What the headers of a server's answer say.
+    """What the headers of a server's answer state.
 
     Attributes:
-      request_id: The request that it answers; '' if it doesn't say.
-      not_run: Whether the server says that it did not run the request.
-      proven: Whether the answer carries the server's proof.
-      load: The server's load, if it tells.
-      kept_ms: How long the server keeps the idle connection; None: unknown.
-      closes: Whether the server closes the connection.
+      request_id: Id of the request that it answers; empty if not stated.
+      not_run: Whether the server states that it did not run the request.
+      has_proof: Whether the answer carries the server's proof.
+      load: The server's load, if it reports it.
+      keep_alive_ms: How long the server keeps the idle connection open; None if
+        unknown.
+      closes_connection: Whether the server closes the connection.
       rate_limit: Requests per second that the server accepts from all entries
         combined; None if the answer sets no limit.
       draining: Whether the server is about to leave.
@@ -324,14 +330,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeaderFormat:
-    """Names and forms of what callers and servers send.
+    """The platform's headers of requests and answers.
 
     Attributes:
-      read_caller: Headers of a caller's request -> what they say.
-      mark: (headers, server's name, time left in ms) -> adds what a server is
-        to be told.
-      read_answer: (status, headers) -> what a server's answer says.
-      dropped: Names, in lower case, that are not passed on to servers.
+      parse_caller_headers: (headers of a caller's request) -> what they state.
+      add_server_headers: (headers, server's name, time left in ms) -> None;
+        adds the headers that a server requires.
+      parse_answer_headers: (status, headers of a server's answer) -> what they
+        state.
+      dropped_headers: Names, in lower case, of request headers that are not
+        passed on to servers.
     """
 
     parse_caller_headers: Callable[[Mapping[bytes, bytes]], CallerHeaders]
@@ -342,7 +350,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Platform:
-    """The whole adapter."""
+    """The complete adapter of a platform."""
 
     settings: Settings
     store: Store
