--- a/lentilmoor/edge/tables.py
+++ b/lentilmoor/edge/tables.py
@@ -1,4 +1,4 @@
-"""What an entry knows of routes, services and backend servers."""
+"""Routes, services and backend servers as an entry has them in memory."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 
 class RepeatPolicy(enum.Enum):
-    """What may be done with a request whose outcome is unknown."""
+    """Whether a request may be retried when its outcome is unknown."""
 
     IDEMPOTENT = 'idempotent'
     ONCE = 'once'
@@ -16,11 +16,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteTarget:
-    """A service's part in a route.
+    """A service that takes a share of a route's requests.
 
     Attributes:
       service: Name of the service.
-      weight: Its share, relative to the other parts' weights.
+      weight: Its share, relative to the weights of the route's other targets.
     """
 
     service: str
@@ -29,19 +29,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Where requests of a host and a path prefix go.
+    """Where the requests for a host and a path prefix are sent, and how.
 
     Attributes:
-      name: Its name.
+      name: Name of the route.
       host: Host, in lower case, without a port.
-      prefix: Begins and ends with a slash.
+      prefix: Path prefix; begins and ends with a slash.
       repeat: Whether requests may be run more than once.
-      large: Whether answers are large files.
-      parts: The services that share the route.
-      attempts: Servers that one request may be sent to, at most.
+      large_answers: Whether answers are large files.
+      targets: The services that share the route.
+      max_attempts: Upper limit of servers that one request is sent to.
       timeout_ms: Longest time that a request may be kept waiting.
-      goal_ms: Time within which an answer is worth its full value.
-      rank: 0 is the most urgent.
+      latency_target_ms: Time within which an answer is worth its full value.
+      priority_rank: 0 is the most urgent.
     """
 
     name: str
@@ -58,13 +58,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service.
+    """A service that the operator has configured.
 
     Attributes:
-      name: Its name.
+      name: Name of the service.
       keyed: Whether servers run a request only while they hold its key.
-      connections: Connections that a server accepts from all entries.
-      warm_ms: How long keys that come without a hand-over token are slow.
+      max_connections: Connections that a server accepts from all entries
+        combined.
+      warmup_ms: How long a server is slow with keys that it received without a
+        hand-over token.
     """
 
     name: str
@@ -75,13 +77,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what callers send.
+    """Limits on what callers send.
 
     Attributes:
-      header_bytes: Request line and headers.
-      body_bytes: Body.
-      header_ms: Time to send the headers.
-      idle_ms: A connection without a request for so long may be closed.
+      max_header_bytes: Limit of the request line and the headers.
+      max_body_bytes: Limit of the body.
+      header_timeout_ms: Time limit for sending the headers.
+      idle_timeout_ms: Time after which a connection without a request may be
+        closed.
     """
 
     max_header_bytes: int = 64 * 1024
@@ -95,10 +98,10 @@
     """The operator's configuration.
 
     Attributes:
-      version: Grows with each change.
-      routes: By name.
-      services: By name.
-      limits: Bounds on what callers send.
+      version: Number that grows with each change.
+      routes: Routes by name.
+      services: Services by name.
+      limits: Limits on what callers send.
     """
 
     version: int
@@ -113,24 +116,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Server:
-    """One lifetime of a backend server.
+    """One process of a backend server.
 
     Attributes:
-      id: Its id; each start of its process has another one.
+      id: Id of the process; each start has another one.
       service: Name of its service.
       address: host:port.
       domain: Its failure domain.
       slots: Requests that it runs at once.
       draining: Whether it is about to leave.
-      warm_at: Until when it is slow after its start, ms.
-      seen_at: When this entry first knew it, ms.
-      name: What it is registered as and called, which a restart may keep; its
-        id if empty.
-      started_at: When its process started, ms of the time of day; None if it
-        doesn't say.
-      draining_at: When this entry learned that it is about to leave, ms.
-      unlisted_at: When its entry was first missing, ms; 0 if it is listed. One
-        that ran out while the store was away may come back.
+      warmup_ends_at: Until when it is slow after its start, ms.
+      seen_at: When this entry first had it listed, ms.
+      name: Name under which it is registered and called, which may survive a
+        restart; the id is used if it is empty.
+      started_at: When its process started, ms of the time of day; None if
+        unknown.
+      draining_at: When this entry received that it is about to leave, ms.
+      unlisted_at: When its entry in the store was first missing, ms; 0 if it is
+        listed. An entry that expired while the store was unavailable may come
+        back.
     """
 
     id: str
@@ -148,7 +152,7 @@
 
     @property
     def leaves_at(self) -> float | None:
-        """When this entry learned that it leaves, ms; None if it doesn't."""
+        """When this entry found that it leaves, ms; None if it stays."""
         if self.draining:
             return self.draining_at
         return self.unlisted_at or None
@@ -157,8 +161,10 @@
 def has_replaced(server: Server, other: Server) -> bool:
     """Returns whether a server's start proves that another process has ended.
 
-    Two processes have neither one address nor one name at a time. Where both
-    say when they started, an entry that was written late proves nothing.
+    No two processes have the same address or the same name at the same time.
+    If the start times of both are known, the later one has replaced the other;
+    a process whose entry was written late but that started earlier proves
+    nothing.
     """
     if server.id == other.id:
         return False
@@ -171,17 +177,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class News:
-    """How far an entry has followed the store.
+    """Changes of the store that entries send each other, and their age.
 
     Attributes:
-      revision: The store's, up to which it knows of every change.
-      seen_at: When it last heard from the store, ms.
-      since: The revision that another entry named.
-      changes: What has changed since then, in the adapter's own form; None if
-        that is too long ago to tell.
-      version: Of the configuration that another entry has in force.
-      configuration_at: When that was the newest, ms.
-      configuration_revision: Up to which revision it was.
+      revision: Store revision up to which the sender has every change.
+      seen_at: When the sender last had an answer from the store, ms.
+      base_revision: Revision from which `changes` begin, as requested by the
+        receiver.
+      changes: Changes since `base_revision`, in the adapter's own encoding;
+        None if that revision is too old.
+      version: Version of the configuration that the sender has in force.
+      configuration_at: When that configuration was known to be the newest, ms.
+      configuration_revision: Revision up to which it was the newest.
     """
 
     revision: int = 0
@@ -195,11 +202,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CoordinatorStatus:
-    """What the coordinator of a keyed service tells all entries.
+    """What the coordinator of a keyed service reports to all entries.
+
+    It is part of the reply to a report, so its field names are on the wire.
 
     Attributes:
-      unserved: First and last keys that no server holds now.
-      works: Mean time of work by server id, ms.
+      unserved: First and last keys of each range that no server holds now.
+      works: Mean processing time of requests by server id, ms.
     """
 
     unserved: list[tuple[int, int]]
@@ -208,14 +217,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoutingSnapshot:
-    """What request threads read; replaced as a whole, never changed.
+    """Data that request threads read; replaced as a whole, never changed.
 
     Attributes:
-      configuration: The configuration in force; None before the first.
-      servers: By service, then by id.
+      configuration: The configuration in force; None if there is none yet.
+      servers: Backend servers by service, then by id.
       assignments: Owners of keys, by service (see `keyranges`).
-      coordinators: Who coordinates a service (see `ports`), by service.
-      entries: Entries that registered (see `ports`), by instance id.
+      coordinators: Coordinators (see `ports.Peer`) by service.
+      entries: Registered entries (see `ports.Peer`) by instance id.
     """
 
     configuration: Configuration | None
