--- a/lentilmoor/edge/controlstate.py
+++ b/lentilmoor/edge/controlstate.py
@@ -1,4 +1,4 @@
-"""What the control actor of an entry believes, and what it works with."""
+"""State of an entry's control actor, and the context that it works in."""
 
 from collections.abc import Callable
 from concurrent import futures
@@ -18,13 +18,15 @@
 
 @dataclasses.dataclass(slots=True)
 class CoordinatorRole:
-    """This entry's part in coordinating one service.
+    """State of this entry as coordinator of one service, or candidate for it.
 
     Attributes:
-      stand_at: When to stand for coordinator; 0: not wanted now.
-      busy: Whether a call for it is under way.
-      state: The coordinator's state; None while it is not one.
-      measured: Loads that entries reported.
+      candidacy_at: When to stand for election, ms; 0 if the entry isn't a
+        candidate.
+      is_call_pending: Whether a call to the store for it is in flight.
+      coordination_state: State of the coordinator; None while this entry isn't
+        the coordinator.
+      load_table: Loads that entries reported.
     """
 
     candidacy_at: float = 0.0
@@ -36,14 +38,14 @@
 
 @dataclasses.dataclass(slots=True)
 class ActorTiming:
-    """Whether the actor keeps up with its messages.
+    """Measures whether the actor keeps up with its messages.
 
     Attributes:
-      pause_ms: Between two steps, in each of which it works out what is due.
-      steps: How many there were.
-      step_ms: Time that they took in all.
-      late_ms: How long its last tick waited to be taken.
-      told_at: When a line last said that it is late, ms.
+      pause_ms: Pause between two steps; each step carries out what is due.
+      steps: Number of steps so far.
+      step_ms: Total time of all steps.
+      tick_delay_ms: How long the last tick waited in the actor's inbox.
+      logged_at: When the log last reported that the actor is late, ms.
     """
 
     pause_ms: float = 0.0
@@ -55,35 +57,42 @@
 
 @dataclasses.dataclass(slots=True)
 class ControlState:
-    """All that the actor owns.
+    """All state that only the control actor's thread changes.
 
     Attributes:
-      instance: This process's id.
-      everything: What the store held when it was last seen.
-      lost_at: Since when the store can't be reached; 0 if it can.
-      back_at: When it was last back, ms.
-      servers: By id; those that left while the store was away are kept.
-      draining: When a server was first reported to be draining, ms, by id.
-      missing: Servers that left the list, and when they count as gone.
-      left: Servers that left, with their last entry.
-      unproven: Servers that had left before a restore of the store and that it
-        lists again, and when they count as up if it still does, ms.
-      ended: Servers whose process has surely ended.
-      heard: Assignments that other entries told of, by service.
-      roles: By keyed service.
-      lease: The coordinator's lease.
-      lease_sent_at: When it was last kept, as of sending, ms.
-      keep_at: When to keep or end it again, ms.
-      handing_over: Why it is being ended; '' if it isn't.
-      unlinked_grants: Grants under way that may go over a new connection.
-      entry_lease: The entry's own lease.
-      entry_keep_at: When to keep it again, ms.
-      entry_keeping: Whether a call for it is under way.
-      suspects_at: When blocked requests may next be written to the store, ms.
-      doubted: Whether the store didn't answer the last renewal.
-      leaving: Whether the entry is about to end.
-      handed_over: Set when it is and no coordinator's lease is left to end.
-      pace: Whether the actor keeps up.
+      instance: Instance id of this process.
+      store_snapshot: The newest snapshot of the store; None before the first.
+      store_lost_at: Since when the store is unreachable, ms; 0 if it is
+        reachable.
+      store_regained_at: When the store was last reachable again, ms.
+      servers: Backend servers by id. Those that disappeared while the store was
+        unavailable are kept.
+      draining_since: When a server was first reported to be draining, ms, by
+        id.
+      removal_times: When servers that are missing from the list count as gone,
+        ms, by id.
+      departed_servers: Servers that left, with their last entry, by id.
+      unconfirmed_servers: When servers that had left before a restore of the
+        store, and that it lists again, count as up if it still lists them then,
+        ms, by id.
+      ended_servers: Ids of servers whose process has certainly ended.
+      peer_assignments: Assignments that other entries sent, by service.
+      roles: Roles by keyed service.
+      coordinator_lease: Lease of the coordinator; None if there is none.
+      lease_renewed_at: When its last successful renewal was sent, ms.
+      lease_due_at: When to renew or end it next, ms.
+      handover_reason: Why the lease is being ended; empty if it isn't.
+      new_connection_grants: Grants in flight that may open a new connection.
+      entry_lease: Lease of the entry's registration.
+      entry_lease_due_at: When to renew it next, ms.
+      is_entry_lease_pending: Whether a call to the store for it is in flight.
+      suspects_due_at: When blocked requests may next be written to the store,
+        ms.
+      is_renewal_unanswered: Whether the store didn't answer the last renewal.
+      is_stopping: Whether the entry is shutting down.
+      handover_done: Set when the entry is shutting down and has no coordinator
+        lease left to end.
+      timing: Whether the actor keeps up with its messages.
     """
 
     instance: str
@@ -119,22 +128,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Context:
-    """What the parts of the control actor share.
+    """What the modules of the control actor share.
 
     Attributes:
-      peer: This entry, as the others know it.
-      owned: What the actor believes; only its thread changes it.
-      forwarder: What request threads share.
-      platform: The adapter.
-      logger: Takes a line for each belief that changes.
-      states: Writes a line when a server answers otherwise than before.
-      clock: This process's time.
-      call: (work, take, pool or None) has a thread make a call; its result,
-        and when it began, are taken in by the actor.
-      publish: Makes request threads see what is believed now.
-      watch_again: Starts to follow the store anew.
+      peer: The `Peer` under which this entry registers.
+      owned: State of the actor; only its thread changes it.
+      forwarder: State shared with request threads.
+      platform: The adapter of the platform.
+      logger: Logs each change of the state.
+      states: Logs a line when a server's answers change.
+      clock: Clock of this process.
+      call: (work, take, pool or None) runs a call in a thread; its result and
+        the time it began are passed to `take` in the actor's thread.
+      publish: Makes the current state visible to request threads.
+      restart_following: Restarts following of the store.
       server_calls: Threads for grants.
-      release_calls: Threads for releases, which wait for work to end.
+      release_calls: Threads for releases, which wait until requests have ended.
     """
 
     peer: ports.Peer
@@ -152,6 +161,6 @@
 
 
 def is_lease_expired(result) -> bool:
-    """Returns whether the store answered that a lease has ended."""
+    """Returns whether the store answered that a lease has expired."""
     return (isinstance(result, outcomes.Failed) and
             result.reason is outcomes.Reason.NOT_FOUND)
