--- a/lentilmoor/edge/relays.py
+++ b/lentilmoor/edge/relays.py
@@ -1,10 +1,10 @@
-"""Which entry tells an entry of changes.
+"""Tree by which changes of the store are distributed to all entries.
 
-The hub follows the store and tells a few entries of each failure domain, its
-relays; each of those tells some others of its domain, and so on. So a change
-reaches all in a few steps, and no entry tells more than a handful, however
-many there are. All work the tree out for themselves from the entries that are
-registered.
+The hub follows the store and sends changes to a few entries of each failure
+domain, its relays. Each relay sends them to other entries of its domain. So a
+change reaches all entries in a few steps, and no entry serves more than a
+handful of others, however many there are. Every entry computes the tree by
+itself from the registered entries.
 """
 
 from collections.abc import Collection
@@ -14,11 +14,12 @@
 
 from lentilmoor.edge import ports
 
-# Entries that one tells. Each asks a few times a second.
+# Entries that one relay serves. Each requests news a few times a second.
 RELAY_FANOUT = 16
-# Entries of a failure domain that the hub tells itself.
+# Entries of a failure domain that the hub serves itself.
 RELAYS_PER_DOMAIN = 3
-# Up to so many entries the hub tells all, in its replies to their reports.
+# Up to this number of entries, the hub sends changes to all of them, in its
+# replies to their reports.
 MAX_DIRECT_ENTRIES = 31
 
 
@@ -27,8 +28,8 @@
     """An entry's place in the tree.
 
     Attributes:
-      relay: Whether it is told by the hub itself.
-      parents: Addresses of those that may tell it, its own parent first.
+      is_relay: Whether the hub itself serves it.
+      parents: Addresses of the entries that may serve it, its own parent first.
     """
 
     is_relay: bool
@@ -41,11 +42,11 @@
 
     Args:
       own: The entry.
-      entries: Those that are registered, by instance id.
+      entries: Registered entries by instance id.
       hubs: Addresses of the hubs.
 
     Returns:
-      None if the hubs tell all, or it is one of them.
+      None if the hubs serve all entries, or if the entry is a hub.
     """
     if own.address in hubs or not hubs:
         return None
@@ -60,8 +61,8 @@
     if position < relays:
         return TreePosition(True, (*roots, *others))
     parent = ranked[(position - relays) // RELAY_FANOUT]
-    # Each goes through the others in another order, so that those of a lost
-    # relay are shared out.
+    # Entries try the other relays in different orders, so that the entries of a
+    # lost relay are distributed over the others.
     turn = position % len(others)
     others = [item for item in others[turn:] + others[:turn] if item != parent]
     return TreePosition(False, (parent, *others, *roots))
@@ -71,8 +72,8 @@
          hubs: Collection[str]) -> list[str]:
     """Returns the addresses of a failure domain's entries, relays first.
 
-    Large machines come first; an entry that started again keeps its place.
-    Hubs have none.
+    Entries on large machines come first. The order depends on addresses, so an
+    entry that restarts keeps its place. Hubs are left out.
     """
     small = {
         peer.address: peer.small
@@ -83,5 +84,5 @@
 
 
 def count_relays(entries: int) -> int:
-    """Returns how many of a failure domain's entries the hub tells itself."""
+    """Returns how many entries of a failure domain the hub serves itself."""
     return min(RELAYS_PER_DOMAIN, -(-entries // (RELAY_FANOUT + 1)))
--- a/lentilmoor/edge/revisions.py
+++ b/lentilmoor/edge/revisions.py
@@ -1,15 +1,15 @@
-"""Revisions of the store, in one order across its restores.
+"""Revisions of the store, in one order across restores of the store.
 
-The store numbers its changes. When it is restored from an older copy, the
-numbers go back and are given out again, and its era rises. A revision holds
-both, the era in its upper bits, so that whatever is read after a restore is
-newer than all that was read before. Revisions of a store that tells no era are
-its plain numbers.
+The store numbers its changes. When it is restored from an older copy, it goes
+back to an earlier number and assigns the numbers after it again, and its era
+rises. A revision holds both, with the era in the upper bits, so that whatever
+is read after a restore is newer than everything that was read before. If a
+store reports no era, its revisions are its plain numbers.
 """
 
 _NUMBER_BITS = 40
 _NUMBER_MASK = (1 << _NUMBER_BITS) - 1
-# Revisions fit a signed integer of 64 bits.
+# A revision must fit a signed 64-bit integer.
 MAX_ERA = (1 << 63 - _NUMBER_BITS) - 1
 
 
@@ -18,7 +18,7 @@
 
     Args:
       era: The store's era, 0 to `MOST_ERA`.
-      number: The number that the store gave the change in that era.
+      number: Number that the store assigned to the change in that era.
     """
     return era << _NUMBER_BITS | number
 
@@ -29,10 +29,10 @@
 
 
 def format_revision(revision: int) -> str:
-    """Returns a revision for logs, as ERA.NUMBER."""
+    """Formats a revision for logs, as ERA.NUMBER."""
     return f'{find_era(revision)}.{find_number(revision)}'
 
 
 def find_number(revision: int) -> int:
-    """Returns the number by which the store knows a revision in its era."""
+    """Returns the number that the store assigned to a revision in its era."""
     return revision & _NUMBER_MASK
