--- a/lentilmoor/edge/storecopy.py
+++ b/lentilmoor/edge/storecopy.py
@@ -1,4 +1,4 @@
-"""What an entry knows of the store, and how it takes in what it is told."""
+"""An entry's copy of the store, and how news and snapshots update it."""
 
 from collections.abc import Callable
 import dataclasses
@@ -15,44 +15,48 @@
 from lentilmoor.edge import staleness
 from lentilmoor.edge import tables
 
-# Requests for news that wait for a change at a time; more are answered at once.
+# Requests for news that may wait for a change at the same time; any more are
+# answered at once.
 MAX_WAITING_REQUESTS = 24
-# Questions to others at random that are under way at a time.
+# Requests to random other entries that may be in flight at the same time.
 MAX_RANDOM_REQUESTS = 9
 
 
 @dataclasses.dataclass(slots=True)
 class StoreFollower:
-    """What following the store needs.
+    """State of an entry that follows the store.
 
     Attributes:
-      own: This entry, as the others know it.
+      own: The `Peer` under which this entry registers.
       reporter: Exchanges reports with the hub.
-      store: The store.
-      clock: Time.
-      logger: Takes lines.
-      take: (everything, whether another entry told it) takes in what is known.
-      lose: (reason) takes in that the store can't be reached.
-      begun: How often following was begun; only the last one goes on.
-      seen: What is known; None before the first answer.
-      began_at: When it was last begun, ms.
-      doing: What the thread that follows is at, and since when, ms.
-      whole: Whether the store is to be read as a whole.
-      wanted: Version of the configuration that others have in force.
-      wanted_at: When that was heard, ms.
-      logged: The last such version that was logged.
-      hurried: Whether to look at the store now.
-      place: This entry's place among the relays, if they tell it.
-      told_at: When one of them last answered, ms.
-      probed_at: When the store was last asked for a sign of life, ms.
-      probe: Asks the store for a sign of life; returns at once.
-      learning: Held while all that another entry knows is asked for.
-      sought_at: When others were last asked at random, ms.
-      outdated: Whether what is known is so old that they are.
-      seeking: Counts such questions under way.
-      lock: Guards `seen`: what is known is taken in by one thread at a time.
-      changed: Notified when something was taken in.
-      held: Counts requests for news that wait for that.
+      store: The platform's store.
+      clock: Clock of this process.
+      logger: Logs what following finds.
+      apply: (snapshot, whether another entry sent it) -> None; passes a new
+        snapshot on.
+      report_store_lost: (reason) -> None; called when the store is unreachable.
+      start_count: How often following was started; only the last start
+        continues.
+      store_snapshot: The newest snapshot; None before the first answer.
+      started_at: When following was last started, ms.
+      activity: What the thread that follows is doing, and since when, ms.
+      needs_full_read: Whether the next read of the store must read everything.
+      peer_version: Newest version of the configuration that other entries have
+        in force.
+      peer_version_at: When that version was received, ms.
+      logged_version: The last such version that was logged.
+      read_now: Set to read the store without waiting for the next interval.
+      position: Position in the tree of relays; None if the hub serves it.
+      relay_answered_at: When a relay last answered, ms.
+      probed_at: When the store was last sent a probe, ms.
+      probe: Sends the store a probe; returns at once.
+      state_request_lock: Held while another entry is asked for its whole copy.
+      peers_asked_at: When random other entries were last asked, ms.
+      is_stale: Whether the copy is so old that they are asked.
+      random_request_slots: Limits such requests in flight.
+      lock: Guards `store_snapshot`: one thread at a time updates the copy.
+      changed: Notified when the copy was updated.
+      wait_slots: Limits requests for news that wait for an update.
     """
 
     own: ports.Peer
@@ -95,38 +99,41 @@
 
 
 def is_configuration_behind(follower: StoreFollower) -> bool:
-    """Returns whether others have a newer configuration in force."""
+    """Returns whether other entries have a newer configuration in force."""
     return (follower.store_snapshot is not None and
             find_version(follower.store_snapshot) < follower.peer_version)
 
 
-def apply_snapshot(follower: StoreFollower, found: ports.StoreSnapshot,
-                   heard: bool) -> None:
-    """Takes in what is known now, unless more is known already.
+def apply_snapshot(follower: StoreFollower, snapshot: ports.StoreSnapshot,
+                   from_peer: bool) -> None:
+    """Replaces the copy by a snapshot, unless the copy is newer.
 
     Args:
-      follower: Knows the rest.
-      found: What is known.
-      heard: Whether another entry told it.
+      follower: State of the entry that follows the store.
+      snapshot: The snapshot.
+      from_peer: Whether another entry sent it.
     """
     with follower.lock:
         seen = follower.store_snapshot
-        if seen is not None and (found.revision,
-                                 find_version(found)) < (seen.revision,
-                                                         find_version(seen)):
+        if seen is not None and (snapshot.revision,
+                                 find_version(snapshot)) < (seen.revision,
+                                                            find_version(seen)):
             return
-        _note_seen(follower, found)
-        follower.apply(found, heard)
+        _record_snapshot(follower, snapshot)
+        follower.apply(snapshot, from_peer)
     with follower.changed:
         follower.changed.notify_all()
 
 
 def wait_for_change(follower: StoreFollower, revision: int,
-                    hold_ms: float) -> None:
-    """Waits for a change since a revision, unless many do so already."""
+                    wait_ms: float) -> None:
+    """Waits for a change after a revision, at most `wait_ms`.
+
+    Returns at once if `MAX_WAITING_REQUESTS` requests already wait.
+    """
     if not follower.wait_slots.acquire(blocking=False):
         return
-    until = follower.clock.now() + hold_ms
+    until = follower.clock.now() + wait_ms
     try:
         with follower.changed:
             while (follower.store_snapshot is None or
@@ -139,84 +146,86 @@
         follower.wait_slots.release()
 
 
-def _note_seen(follower: StoreFollower, found: ports.StoreSnapshot) -> None:
-    follower.store_snapshot = found
+def _record_snapshot(follower: StoreFollower,
+                     snapshot: ports.StoreSnapshot) -> None:
+    follower.store_snapshot = snapshot
     forwarder = follower.reporter.forwarder
-    forwarder.followed = found.revision
-    forwarder.version = find_version(found)
+    forwarder.followed = snapshot.revision
+    forwarder.version = find_version(snapshot)
     forwarder.newest_version = max(forwarder.version, follower.peer_version)
 
 
-def apply_news(follower: StoreFollower, heard: tables.News) -> bool:
-    """Takes in what another told; looks at the store if that can't be used.
+def apply_news(follower: StoreFollower, news: tables.News) -> bool:
+    """Merges news from another entry into the copy.
 
-    It never waits for a watch that is under way.
+    News that can't be merged causes a read of the store. The function never
+    waits for a watch in flight.
 
     Returns:
-      Whether it could be used.
+      Whether the news could be merged.
     """
     with follower.lock:
         seen = follower.store_snapshot
         if seen is None:
             return False
-        if heard.version > max(find_version(seen), follower.peer_version):
-            # Known before the revision is, or the configuration would count as
-            # the newest of that revision.
-            follower.peer_version = heard.version
+        if news.version > max(find_version(seen), follower.peer_version):
+            # Must be recorded before the revision: otherwise the configuration
+            # in force would count as the newest at that revision.
+            follower.peer_version = news.version
             follower.peer_version_at = follower.clock.now()
-            follower.reporter.forwarder.newest_version = heard.version
+            follower.reporter.forwarder.newest_version = news.version
         behind = is_configuration_behind(follower)
-        if (heard.revision > seen.revision or
-                heard.version > find_version(seen) and heard.changes):
-            seen = merge_news(follower, seen, heard)
+        if (news.revision > seen.revision or
+                news.version > find_version(seen) and news.changes):
+            seen = merge_news(follower, seen, news)
             if seen is None:
                 follower.read_now.set()
                 return False
     forwarder = follower.reporter.forwarder
-    forwarder.heard = max(forwarder.heard, heard, key=lambda item: item.seen_at)
-    _note_times(follower, seen, heard)
-    # One that is too large to tell is read: by a watch each of the versions
-    # since would come.
+    forwarder.heard = max(forwarder.heard, news, key=lambda item: item.seen_at)
+    _record_times(follower, seen, news)
+    # A configuration that is too large for news is read from the store: a watch
+    # would deliver every version since.
     if behind and is_configuration_behind(
-            follower) and follower.logged_version < heard.version:
-        follower.logged_version = heard.version
+            follower) and follower.logged_version < news.version:
+        follower.logged_version = news.version
         follower.logger.warning('behind_the_hub',
                                 version=find_version(seen),
-                                hub=heard.version,
+                                hub=news.version,
                                 revision=revisions.format_revision(
                                     seen.revision))
     return True
 
 
-def _note_times(follower: StoreFollower, seen: ports.StoreSnapshot,
-                heard: tables.News) -> None:
-    """Notes up to when what is known is complete, as another told.
+def _record_times(follower: StoreFollower, seen: ports.StoreSnapshot,
+                  news: tables.News) -> None:
+    """Records times up to which the copy is complete, as stated by the news.
 
-    Nothing that was known before a restore of the store is complete after it.
+    A copy from before a restore of the store is never complete after it.
     """
-    if revisions.find_era(heard.revision) < revisions.find_era(seen.revision):
+    if revisions.find_era(news.revision) < revisions.find_era(seen.revision):
         return
-    newest = find_version(seen) >= max(heard.version, follower.peer_version)
+    newest = find_version(seen) >= max(news.version, follower.peer_version)
     forwarder = follower.reporter.forwarder
     if newest:
-        record_newest_configuration(follower, heard.configuration_revision)
+        record_newest_configuration(follower, news.configuration_revision)
     staleness.record_known_times(
         forwarder.freshness,
-        heard.seen_at,
-        configuration_at=heard.configuration_at if newest else -math.inf)
+        news.seen_at,
+        configuration_at=news.configuration_at if newest else -math.inf)
 
 
 def record_newest_configuration(follower: StoreFollower, revision: int) -> None:
-    """Notes that no configuration is newer up to a revision of the store."""
+    """Records that no configuration is newer up to a revision of the store."""
     forwarder = follower.reporter.forwarder
     forwarder.configuration_revision = max(forwarder.configuration_revision,
                                            revision)
 
 
 def is_configuration_newest(follower: StoreFollower) -> bool:
-    """Returns whether no configuration is newer up to what is known.
+    """Returns whether the copy has the newest configuration of its revision.
 
-    What another entry tells may leave it out.
+    It may not have it, as news from other entries may leave it out.
     """
     return (not is_configuration_behind(follower) and
             follower.reporter.forwarder.configuration_revision
@@ -224,25 +233,25 @@
 
 
 def merge_news(follower: StoreFollower, seen: ports.StoreSnapshot,
-               heard: tables.News) -> ports.StoreSnapshot | None:
-    """Returns what is known with the hub's news; None if it can't be used.
+               received: tables.News) -> ports.StoreSnapshot | None:
+    """Returns the copy with the news merged; None if that is impossible.
 
-    News that begin later than what is known would leave a gap: an entry once
-    went back to an older configuration by such.
+    News that begins later than the copy ends would leave a gap: an entry once
+    went back to an older configuration because of one.
     """
-    if heard.changes is None or heard.base_revision > seen.revision:
+    if received.changes is None or received.base_revision > seen.revision:
         return None
-    merged = follower.store.merge_news(heard.changes, heard.revision)
+    merged = follower.store.merge_news(received.changes, received.revision)
     if merged is None:
         return None
-    if not heard.changes and merged == dataclasses.replace(
+    if not received.changes and merged == dataclasses.replace(
             seen, revision=merged.revision):
-        _note_seen(follower, merged)
+        _record_snapshot(follower, merged)
         return merged
     follower.logger.info('news_heard',
                          revision=revisions.format_revision(merged.revision),
                          news=revisions.format_revision(
                              merged.required_revision),
-                         age_ms=round(follower.clock.now() - heard.seen_at))
+                         age_ms=round(follower.clock.now() - received.seen_at))
     apply_snapshot(follower, merged, True)
     return merged
