--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -241,7 +241,7 @@
 
     def test_more_than_a_few_that_wait_are_answered_at_once(self):
         for _ in range(storecopy.MAX_WAITING_REQUESTS):
-            self.hub.held.acquire()
+            self.hub.wait_slots.acquire()
         asked = reports.NewsRequest('e9', self.hub.store_snapshot.revision)
         began = time.monotonic()
         reply = subscriptions.answer(self.hub, asked)
@@ -329,7 +329,7 @@
         self.follower.start_count = 1
         self.follower.activity = (what, self.time.at - 1_000.0)
         following.follow_again(self.follower)
-        self.addCleanup(setattr, self.follower, 'begun', 9)
+        self.addCleanup(setattr, self.follower, 'start_count', 9)
         return self.follower.start_count
 
     def test_who_waits_for_a_call_of_the_silent_store_looks_again(self):
@@ -394,7 +394,7 @@
             store.connect_store(standin.address, clock, logger), clock, logger,
             mock.Mock(), mock.Mock())
         follower.position = relays.TreePosition(False, ('b:1',))
-        self.addCleanup(setattr, follower, 'begun', 9)
+        self.addCleanup(setattr, follower, 'start_count', 9)
         following.follow_again(follower)
         platformhelp.wait_until(lambda: follower.activity[0] == 'wait', 3.0)
         standin.faults.away = 'silent'
