--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -1,8 +1,8 @@
 """Entries in one process that follow a stand-in of the store.
 
-Everything that follows, spreads and applies changes is the product's; calls
-between entries are function calls. Each hop of the path from the store to a
-decision can be cut, hung, slowed or frozen.
+The code that follows the store and that distributes and applies changes is the
+project's own. Calls between entries are function calls. Each hop on the path
+from the store to a decision can be cut, hung, slowed down or frozen.
 """
 
 import dataclasses
@@ -42,8 +42,8 @@
                       retry_window_ms=10_000.0,
                       hold_max_ms=10_000.0,
                       config_apply_ms=BOUND_MS)
-SERVER = 's-1'
-STEADY = 's-2'
+LEAVING_SERVER = 's-1'
+STEADY_SERVER = 's-2'
 NEW_PREFIX = '/new/'
 _SERVICE = tables.Service('orders', False, 100, 0.0)
 _HEARTBEAT_S = 0.1
@@ -52,21 +52,22 @@
 
 @dataclasses.dataclass
 class Faults:
-    """What is wrong with an entry.
+    """Faults that are injected into an entry.
 
     Attributes:
       frozen: Whether it answers no entry and follows nothing.
-      slow_s: How much later questions of other entries reach it.
-      slow_back_s: How much later its answers reach them.
-      unread: Whether reads of the configuration alone hang.
-      stuck: Held while its control actor is to take no message.
+      request_delay_s: Delay before requests of other entries reach it.
+      reply_delay_s: Delay before its replies reach other entries.
+      configuration_unreadable: Whether reads of the configuration alone hang.
+      actor_lock: While it is held, the control actor handles no message.
     """
 
     frozen: bool = False
-    slow_s: float = 0.0
-    slow_back_s: float = 0.0
-    unread: bool = False
-    stuck: threading.Lock = dataclasses.field(default_factory=threading.Lock)
+    request_delay_s: float = 0.0
+    reply_delay_s: float = 0.0
+    configuration_unreadable: bool = False
+    actor_lock: threading.Lock = dataclasses.field(
+        default_factory=threading.Lock)
 
 
 class Member:
@@ -93,18 +94,18 @@
                                       self.actor.tell)
         self.follower = storecopy.StoreFollower(
             ports.make_peer(settings.instance, settings), reporter, connected,
-            clock, logger, self._take,
+            clock, logger, self._apply,
             lambda reason: self.actor.tell(control.StoreLost(reason)))
         self.follower.probe = lambda: self.actor.tell(control.Probe())
         reporter.hear = functools.partial(storecopy.apply_news, self.follower)
         self._pages = {
-            subscriptions.PATH: self._tell_news,
-            reporting.PATH: self._take_report,
-            reporting.STATE_PATH: self._tell_state,
+            subscriptions.PATH: self._answer_news,
+            reporting.PATH: self._answer_report,
+            reporting.STATE_PATH: self._answer_state,
         }
 
     def start(self) -> None:
-        """Begins to follow."""
+        """Starts following the store."""
         following.follow_again(self.follower)
         avoided: dict[str, float] = {}
 
@@ -134,25 +135,25 @@
                 work()
 
     def stop(self) -> None:
-        """Ends it; calls that hang are left to their time-outs."""
+        """Stops the entry; calls that hang are left to time out."""
         self.follower.start_count = 1_000_000
         self.actor.stop(block=False)
         self.path.close()
 
-    def _take(self, found: ports.StoreSnapshot, heard: bool) -> None:
+    def _apply(self, found: ports.StoreSnapshot, heard: bool) -> None:
         if not self._fleet.ended.is_set():
-            self.actor.tell(control.Returned(self._wait_if_stuck))
+            self.actor.tell(control.Returned(self._wait_for_actor_lock))
             number = staleness.add_pending_change(self.forwarder.freshness)
             self.actor.tell(control.StoreSeen(found, heard, number))
 
-    def _wait_if_stuck(self) -> None:
-        with self.faults.stuck:
+    def _wait_for_actor_lock(self) -> None:
+        with self.faults.actor_lock:
             pass
 
     def _make_store(self, connected: ports.Store) -> ports.Store:
 
         def load_configuration():
-            if self.faults.unread:
+            if self.faults.configuration_unreadable:
                 time.sleep(store.PAGE_MS / clocks.MS_PER_S)
                 return outcomes.Failed(outcomes.Reason.TIMED_OUT)
             return connected.load_configuration()
@@ -163,40 +164,41 @@
     def call(self, address, request, timeout_ms, unused_connect_ms=None):
         """Calls another entry, as `httpcalls.Caller` does."""
         other = self._fleet.by_address[address]
-        wait_s = other.faults.slow_s
+        wait_s = other.faults.request_delay_s
         if other.faults.frozen or self.faults.frozen:
             time.sleep(timeout_ms / clocks.MS_PER_S)
             return outcomes.Failed(outcomes.Reason.TIMED_OUT)
         time.sleep(wait_s)
         status, body = other.answer(request.target, request.body)
-        time.sleep(other.faults.slow_back_s)
-        if (wait_s + other.faults.slow_back_s) * clocks.MS_PER_S >= timeout_ms:
+        time.sleep(other.faults.reply_delay_s)
+        if (wait_s +
+                other.faults.reply_delay_s) * clocks.MS_PER_S >= timeout_ms:
             return outcomes.Failed(outcomes.Reason.TIMED_OUT)
         return httpcalls.Reply(status, {}, body)
 
     def answer(self, target: str, body: bytes) -> tuple[int, bytes]:
-        """Answers another entry."""
+        """Handles a request of another entry; returns status and body."""
         return self._pages[target](body)
 
-    def _tell_news(self, body: bytes) -> tuple[int, bytes]:
+    def _answer_news(self, body: bytes) -> tuple[int, bytes]:
         reply = subscriptions.answer(self.follower,
                                      reports.decode_news_request(body))
         return (200, reports.encode_news(reply)) if reply else (503, b'')
 
-    def _take_report(self, body: bytes) -> tuple[int, bytes]:
+    def _answer_report(self, body: bytes) -> tuple[int, bytes]:
         reply = reporting.answer(self.follower.reporter,
                                  reports.decode_report(body))
         return 200, reports.encode_reply(reply)
 
-    def _tell_state(self, body: bytes) -> tuple[int, bytes]:
+    def _answer_state(self, body: bytes) -> tuple[int, bytes]:
         return 200, self.follower.store.dump(int(body))
 
-    def would_send(self, server: str = SERVER) -> bool:
-        """Returns whether it would send a server a request now."""
+    def may_send_to(self, server: str = LEAVING_SERVER) -> bool:
+        """Returns whether the entry may now send a request to a server."""
         return picks.may_send(self.forwarder, _SERVICE, server)
 
-    def would_deny(self) -> bool:
-        """Returns whether it answers 404 for the route that was added."""
+    def denies_new_route(self) -> bool:
+        """Returns whether it answers 404 for the route of `make_change`."""
         request = requests.Request(ports.CallerHeaders('r', 100.0, None), 'GET',
                                    platformhelp.HOST, NEW_PREFIX + 'x',
                                    NEW_PREFIX + 'x', {}, b'', mock.Mock(),
@@ -207,22 +209,22 @@
 
 
 class Fleet:
-    """Three failure domains of four entries, and their store."""
+    """Twelve entries in three failure domains, and their store."""
 
     def __init__(self):
         self.standin = platform_store.PlatformStore()
         self.ended = threading.Event()
         self._threads: list[threading.Thread] = []
         self.standin.put('op/config', platformhelp.make_configuration(1))
-        self._states = {SERVER: 'ready', STEADY: 'ready'}
-        self._beat()
+        self._states = {LEAVING_SERVER: 'ready', STEADY_SERVER: 'ready'}
+        self._send_heartbeats()
         self.members = [
             Member(self, number, domain) for number, (
                 domain,
                 _) in enumerate(itertools.product(('d0', 'd1', 'd2'), range(4)))
         ]
         self.by_address = {member.address: member for member in self.members}
-        self.start(self._beat_on)
+        self.start(self._send_heartbeats_until_end)
         for member in self.members:
             member.start()
         platformhelp.wait_until(self._is_settled, 10.0)
@@ -239,16 +241,16 @@
         self.standin.close()
 
     def start(self, work) -> None:
-        """Runs work in a thread; it ends soon after the fleet."""
+        """Runs a function in a thread, which is joined when the fleet ends."""
         thread = threading.Thread(target=work, daemon=True)
         thread.start()
         self._threads.append(thread)
 
-    def _beat_on(self) -> None:
+    def _send_heartbeats_until_end(self) -> None:
         while not self.ended.wait(_HEARTBEAT_S):
-            self._beat()
+            self._send_heartbeats()
 
-    def _beat(self) -> None:
+    def _send_heartbeats(self) -> None:
         for name, state in self._states.items():
             self.standin.put(
                 f'servers/{name}', {
@@ -266,25 +268,29 @@
         places = [member.follower.position for member in self.members]
         return places.count(None) == 1 and all(
             len(member.forwarder.snapshot.entries) == len(self.members) and
-            member.would_send(STEADY) for member in self.members)
+            member.may_send_to(STEADY_SERVER) for member in self.members)
 
     def find_hub(self) -> Member:
-        """Returns the hub, as the first entry knows it."""
+        """Returns the hub, according to the first entry."""
         peer = next(iter(reporting.find_hubs(
             self.members[0].follower.reporter)))
         return self.by_address[peer.address]
 
     def find_relay(self) -> Member:
-        """Returns an entry that tells others of its domain."""
+        """Returns a relay outside the hub's failure domain."""
         hub = self.find_hub()
         return next(
             member for member in self.members if member.follower.position and
             member.follower.position.is_relay and member.domain != hub.domain)
 
-    def change(self) -> float:
-        """Has a server leave and adds a route; returns when that was acked."""
-        self._states[SERVER] = 'draining'
-        self._beat()
+    def make_change(self) -> float:
+        """Makes a server leave and adds a route.
+
+        Returns:
+          When the store acknowledged it, s of the monotonic clock.
+        """
+        self._states[LEAVING_SERVER] = 'draining'
+        self._send_heartbeats()
         route = platformhelp.make_configuration()['Routes']['report']
         self.standin.put(
             'op/config',
@@ -292,16 +298,16 @@
                                             new=route | {'Prefix': NEW_PREFIX}))
         return time.monotonic()
 
-    def list_late(self, acked_at: float, until: float) -> list[str]:
-        """Returns decisions by what was replaced over the bound ago."""
+    def list_stale_decisions(self, acked_at: float, until: float) -> list[str]:
+        """Returns decisions by data that was replaced before the bound."""
         late = []
         while (now := time.monotonic()) < until:
             if now - acked_at > BOUND_MS / clocks.MS_PER_S:
                 late += [
                     f'{member.address} {what} {now - acked_at:.2f} s after'
                     for member in self.members if not member.faults.frozen
-                    for what, decides in (('sends', member.would_send),
-                                          ('denies', member.would_deny))
+                    for what, decides in (('sends', member.may_send_to),
+                                          ('denies', member.denies_new_route))
                     if decides()
                 ]
             time.sleep(0.05)
--- a/tests/test_edge_knowledge.py
+++ b/tests/test_edge_knowledge.py
@@ -1,4 +1,4 @@
-"""Orders of events in which an old copy must not count as recent."""
+"""Tests of the age of an entry's copy of the store, and its limits."""
 
 import dataclasses
 import unittest
@@ -23,7 +23,12 @@
 from tests import platformhelp
 
 
-class OrderTest(unittest.TestCase):
+class EventOrderTest(unittest.TestCase):
+    """An old copy must not count as recent, whatever the order of events.
+
+    For example, the revision of the copy may pass a change of the configuration
+    that the copy does not contain.
+    """
 
     def setUp(self):
         super().setUp()
@@ -44,21 +49,25 @@
                                            mock.Mock())
         self.follower = storecopy.StoreFollower(ports.Peer('e1', 'a:1'),
                                                 self.reporter, self.store,
-                                                self.clock, logger, self._take,
+                                                self.clock, logger, self._apply,
                                                 mock.Mock())
         self.reporter.hear = lambda heard: storecopy.apply_news(
             self.follower, heard)
         self.standin.put('op/config', platformhelp.make_configuration(1))
         self.assertTrue(following.read(self.follower, 0))
 
-    def _take(self, found, unused_heard):
+    def _apply(self, found, unused_heard):
         freshness = self.forwarder.freshness
-        self.handed.append(found)  # The actor applies at once.
+        self.handed.append(found)  # As if the actor applied it at once.
         staleness.mark_applied(freshness,
                                staleness.add_pending_change(freshness))
 
-    def _learn_without_the_newest(self):
-        """Learns all from one that is further on, but lacks a configuration."""
+    def _restore_dump_without_newest_configuration(self):
+        """Restores the dump of an entry that is ahead but has an old version.
+
+        Returns:
+          When the newest configuration was acknowledged, ms.
+        """
         other = store.connect_store(self.standin.address, self.clock,
                                     logs.make_logger('other'))
         other.load()
@@ -73,30 +82,30 @@
         self.assertEqual(self.forwarder.followed, revision)
         return acked_at
 
-    def _check_newest_is_read(self, acked_at):
+    def _assert_newest_is_read(self, acked_at):
         self.standin.put('lentilmoor/entry/f', b'["f", "a:8", false]')
         self.assertLess(self.forwarder.freshness.known_times.configuration_at,
                         acked_at)
         following.read(self.follower, 0)
         self.assertEqual(self.forwarder.version, 2)
 
-    def test_a_hub_that_hears_itself_learns_nothing(self):
-        acked_at = self._learn_without_the_newest()
+    def test_own_report_does_not_prove_the_newest_configuration(self):
+        acked_at = self._restore_dump_without_newest_configuration()
         own = reports.Report('e1', {}, {}, {}, self.forwarder.followed)
         told = reporting.Told(reporting.answer(self.reporter, own),
                               self.clock.now())
         reporting.apply(self.reporter, [told])
-        self._check_newest_is_read(acked_at)
+        self._assert_newest_is_read(acked_at)
 
-    def test_one_that_knows_less_proves_no_newest_configuration(self):
+    def test_older_news_does_not_prove_the_newest_configuration(self):
         before = self.follower.store_snapshot.revision
         heard = tables.News(before, self.clock.now(), before, b'', 1,
                             self.clock.now(), before)
-        acked_at = self._learn_without_the_newest()
+        acked_at = self._restore_dump_without_newest_configuration()
         storecopy.apply_news(self.follower, heard)
-        self._check_newest_is_read(acked_at)
+        self._assert_newest_is_read(acked_at)
 
-    def test_a_watch_that_comes_late_brings_no_older_configuration(self):
+    def test_late_watch_does_not_bring_back_an_older_configuration(self):
         before = self.follower.store_snapshot
         self.standin.put('lentilmoor/entry/e', b'["e", "a:9", false]')
         found = self.store.watch(before)
@@ -131,55 +140,55 @@
 
 class LimitsTest(unittest.TestCase):
 
-    def test_the_longest_way_from_the_store_fits_the_bound(self):
+    def test_the_longest_path_from_the_store_fits_the_bound(self):
         for bound in (2_000.0, 2_500.0, 3_000.0):
             limits = staleness.make_limits(bound, bound)
             usual = limits.hub_watch_pause_ms + 2 * limits.poll_wait_ms
             self.assertLess(usual, limits.refresh_age_ms)
-            # A question to one that hangs, then one to any other.
+            # One request to an entry that hangs, then one to a random entry.
             self.assertLessEqual(limits.refresh_age_ms + limits.poll_reply_ms,
                                  limits.max_send_age_ms)
             self.assertLess(limits.max_send_age_ms, bound)
             self.assertLess(limits.watch_wait_ms + limits.watch_reply_ms,
                             limits.refresh_age_ms)
 
-    def test_a_bound_that_can_not_be_kept_is_refused(self):
+    def test_a_bound_below_the_minimum_is_rejected(self):
         for bounds in ((400.0, 2_000.0), (2_000.0, 400.0)):
             with self.assertRaisesRegex(exceptions.SettingsError, '400 ms'):
                 staleness.make_limits(*bounds)
 
 
-class AwayTest(unittest.TestCase):
-    """Whether the store is taken to be away from everybody."""
+class StoreUnavailableTest(unittest.TestCase):
+    """When the store counts as unavailable to all entries."""
 
     def setUp(self):
         super().setUp()
         self.freshness = staleness.Freshness()
         self.limits = staleness.make_limits(2_000.0, 2_000.0)
 
-    def _is_away(self, others, now, unanswered_ms=60_000.0):
+    def _is_unavailable(self, others, now, unanswered_ms=60_000.0):
         return staleness.is_store_unavailable(self.freshness, others,
                                               unanswered_ms, now, self.limits)
 
-    def test_half_of_the_others_have_to_say_so(self):
+    def test_half_of_the_other_entries_must_report_it(self):
         for name in 'abc':
             staleness.record_unreachable_report(self.freshness, name, 5_000.0)
-        self.assertTrue(self._is_away('abcdef', 5_100.0))
-        self.assertFalse(self._is_away('abcdefg', 5_100.0))
-        self.assertFalse(self._is_away('abcdef', 9_001.0))
+        self.assertTrue(self._is_unavailable('abcdef', 5_100.0))
+        self.assertFalse(self._is_unavailable('abcdefg', 5_100.0))
+        self.assertFalse(self._is_unavailable('abcdef', 9_001.0))
 
-    def test_who_reaches_the_store_does_not_take_it_for_away(self):
+    def test_store_that_answers_this_entry_is_available(self):
         staleness.record_unreachable_report(self.freshness, 'a', 5_000.0)
-        self.assertFalse(self._is_away('a', 5_100.0, 100.0))
-        self.assertFalse(self._is_away((), 5_100.0, 100.0))
+        self.assertFalse(self._is_unavailable('a', 5_100.0, 100.0))
+        self.assertFalse(self._is_unavailable((), 5_100.0, 100.0))
 
-    def test_a_recent_copy_of_anybody_says_that_it_is_not(self):
+    def test_recent_copy_of_another_entry_shows_that_it_is_available(self):
         for name in 'abc':
             staleness.record_unreachable_report(self.freshness, name, 5_000.0)
         staleness.record_peer_copy(self.freshness, 4_900.0)
-        self.assertFalse(self._is_away('abc', 5_100.0))
+        self.assertFalse(self._is_unavailable('abc', 5_100.0))
         staleness.record_peer_copy(self.freshness, 5_001.0)
-        self.assertFalse(self._is_away('abc', 6_500.0))
+        self.assertFalse(self._is_unavailable('abc', 6_500.0))
 
 
 if __name__ == '__main__':
--- a/tests/test_edge_lost_takes.py
+++ b/tests/test_edge_lost_takes.py
@@ -1,4 +1,4 @@
-"""What was read of the store beside news without changes is in force."""
+"""Tests that a snapshot is applied although news arrives during the read."""
 
 import dataclasses
 import threading
@@ -20,8 +20,13 @@
 from tests import platformhelp
 
 
-class LostTakeTest(unittest.TestCase):
-    """News that bring no change come while a read is being taken in."""
+class LostSnapshotTest(unittest.TestCase):
+    """News without changes must not hide a configuration that is being read.
+
+    The news raises the revision of the copy while a read of the new
+    configuration is in progress. The configuration was then in the copy, but
+    was never passed to the control actor.
+    """
 
     def setUp(self):
         super().setUp()
@@ -41,43 +46,44 @@
         self.follower.needs_full_read, self.follower.start_count = False, 1
         self.standin.put('op/config', platformhelp.make_configuration(4))
         # The hub has version 4, which is too large for news.
-        self._hear(self.follower.store_snapshot.revision + 1)
+        self._receive_news(self.follower.store_snapshot.revision + 1)
         self.assertEqual(self.follower.peer_version, 4)
 
-    def _hear(self, revision: int) -> None:
-        """Takes in news in which nothing but the revision rose."""
+    def _receive_news(self, revision: int) -> None:
+        """Applies news in which nothing but the revision has changed."""
         storecopy.apply_news(
             self.follower,
             tables.News(revision, self.follower.clock.now(),
                         self.follower.store_snapshot.revision, b'', 4))
 
-    def _check(self) -> None:
+    def _assert_configuration_applied(self) -> None:
         self.assertEqual(self.follower.store_snapshot.configuration.version, 4)
         self.assertEqual(self.taken[-1].configuration.version, 4,
-                         'known, and never given to the control actor')
+                         'in the copy, but not passed to the control actor')
 
-    def test_news_between_reading_and_taking(self):
+    def test_news_between_read_and_apply(self):
         load = self.store.load_configuration
 
         def load_beside_news():
             found = load()
-            self._hear(self.follower.store_snapshot.revision + 1)
+            self._receive_news(self.follower.store_snapshot.revision + 1)
             return found
 
         self.follower.store = dataclasses.replace(
             self.store, load_configuration=load_beside_news)
         following.read(self.follower, 1)
-        self._check()
+        self._assert_configuration_applied()
 
-    def test_news_while_it_is_parsed(self):
-        # Without any luck: the news wait for the view's lock and hold the
-        # follower's, for which the read has to wait then.
+    def test_news_while_the_configuration_is_parsed(self):
+        # The order of events is certain: the news holds the follower's lock
+        # while it waits for the view's lock, so the read has to wait for the
+        # follower's lock.
         parse = documents.parse_configuration
         threads = []
 
         def parse_slowly(data):
             thread = threading.Thread(
-                target=self._hear,
+                target=self._receive_news,
                 args=(self.follower.store_snapshot.revision + 1,))
             thread.start()
             threads.append(thread)
@@ -88,11 +94,11 @@
             following.read(self.follower, 1)
         for thread in threads:
             thread.join(3.0)
-        self._check()
+        self._assert_configuration_applied()
 
-    def test_without_news_beside_it(self):
+    def test_read_without_concurrent_news(self):
         following.read(self.follower, 1)
-        self._check()
+        self._assert_configuration_applied()
 
 
 if __name__ == '__main__':
--- a/tests/test_edge_staleness.py
+++ b/tests/test_edge_staleness.py
@@ -1,4 +1,4 @@
-"""What entries decide by copies of the store that are too old."""
+"""Tests that no entry decides by a copy of the store that is too old."""
 
 from collections.abc import Callable
 from collections.abc import Iterator
@@ -14,15 +14,15 @@
 _BOUND_S = copyfleets.BOUND_MS / 1_000.0
 
 
-def _cut_domain(fleet: copyfleets.Fleet) -> None:
-    """The store is silent for the hub and its whole failure domain."""
+def _cut_domain_from_store(fleet: copyfleets.Fleet) -> None:
+    """The store answers neither the hub nor the rest of its failure domain."""
     hub = fleet.find_hub()
     for member in fleet.members:
         if member.domain == hub.domain:
             member.path.hold()
 
 
-def _cut_hub(fleet: copyfleets.Fleet) -> None:
+def _cut_hub_from_store(fleet: copyfleets.Fleet) -> None:
     fleet.find_hub().path.hold()
 
 
@@ -34,58 +34,59 @@
     fleet.find_relay().faults.frozen = True
 
 
-def _slow_relay(fleet: copyfleets.Fleet) -> None:
-    fleet.find_relay().faults.slow_s = 0.5
+def _slow_down_relay(fleet: copyfleets.Fleet) -> None:
+    fleet.find_relay().faults.request_delay_s = 0.5
 
 
-def _slow_answers(fleet: copyfleets.Fleet) -> None:
-    """What relays answer is long under way."""
+def _delay_relay_answers(fleet: copyfleets.Fleet) -> None:
+    """The replies of all entries arrive late."""
     for member in fleet.members:
-        member.faults.slow_back_s = 0.35
+        member.faults.reply_delay_s = 0.35
 
 
-def _thaw(fleet: copyfleets.Fleet) -> None:
-    """An entry stands still over the change and goes on."""
+def _freeze_entry_over_change(fleet: copyfleets.Fleet) -> None:
+    """An entry is frozen during the change and continues afterwards."""
     member = fleet.members[2]
     member.faults.frozen = True
     fleet.start(lambda: (time.sleep(1.5 * _BOUND_S),
                          setattr(member.faults, 'frozen', False)))
 
 
-def _stick_actors(fleet: copyfleets.Fleet) -> None:
-    """Changes are known but not in force, as if applying them took long."""
-    stuck = fleet.members[1].faults.stuck
+def _delay_actors(fleet: copyfleets.Fleet) -> None:
+    """One entry receives changes but applies them late."""
+    stuck = fleet.members[1].faults.actor_lock
     stuck.acquire()
     fleet.start(lambda: (time.sleep(2 * _BOUND_S), stuck.release()))
 
 
-def _hide_configuration(fleet: copyfleets.Fleet) -> None:
-    """The configuration is too large to tell, and can't be read alone."""
+def _block_configuration_reads(fleet: copyfleets.Fleet) -> None:
+    """The configuration is too large for news, and can't be read alone."""
     for member in fleet.members:
-        member.faults.unread = True
+        member.faults.configuration_unreadable = True
 
 
 Fault = Callable[[copyfleets.Fleet], None]
 _FAULTS: dict[str, Fault] = {
-    'domain cut from the store': _cut_domain,
-    'hub cut from the store': _cut_hub,
+    'domain cut from the store': _cut_domain_from_store,
+    'hub cut from the store': _cut_hub_from_store,
     'hub frozen': _freeze_hub,
     'relay frozen': _freeze_relay,
-    'relay slow': _slow_relay,
-    'answers slow': _slow_answers,
-    'entry stands still': _thaw,
-    'changes applied late': _stick_actors,
-    'configuration unread': _hide_configuration,
+    'relay slow': _slow_down_relay,
+    'answers slow': _delay_relay_answers,
+    'entry stands still': _freeze_entry_over_change,
+    'changes applied late': _delay_actors,
+    'configuration unread': _block_configuration_reads,
 }
 
 
 @dataclasses.dataclass(frozen=True)
-class _Played:
-    """What became of a change beside faults.
+class _RunResult:
+    """Result of a change that is made while faults are present.
 
     Attributes:
-      late: Decisions by what had been replaced for too long.
-      refusing: Entries that still send nothing to a server that stays.
+      late: Decisions that rest on data replaced longer ago than the bound.
+      refusing: Entries that, two bounds after the change, send no request to a
+        server that stays.
     """
 
     late: list[str]
@@ -94,10 +95,10 @@
 
 @contextlib.contextmanager
 def _start_fleet(small_room: bool = False) -> Iterator[copyfleets.Fleet]:
-    """Starts entries that relays tell, not the hub alone.
+    """Starts a fleet in which relays, and not only the hub, send news.
 
     Args:
-      small_room: Whether the configuration is too large to tell.
+      small_room: Whether the configuration is too large for news.
     """
     with contextlib.ExitStack() as stack:
         stack.enter_context(mock.patch.object(relays, 'MAX_DIRECT_ENTRIES', 3))
@@ -108,40 +109,45 @@
         yield stack.enter_context(copyfleets.Fleet())
 
 
-def _play(faults: tuple[Fault, ...], gap_s: float = 0.5) -> _Played:
-    """Makes a change beside faults, and looks on for two bounds."""
-    with _start_fleet(_hide_configuration in faults) as fleet:
+def _run_change(faults: tuple[Fault, ...], gap_s: float = 0.5) -> _RunResult:
+    """Makes a change while faults are present, and observes two bounds."""
+    with _start_fleet(_block_configuration_reads in faults) as fleet:
         for fault in faults:
             fault(fleet)
             time.sleep(gap_s)
-        acked_at = fleet.change()
-        late = fleet.list_late(acked_at, acked_at + 2 * _BOUND_S)
-        return _Played(late, [
+        acked_at = fleet.make_change()
+        late = fleet.list_stale_decisions(acked_at, acked_at + 2 * _BOUND_S)
+        return _RunResult(late, [
             member.address
             for member in fleet.members
             if not member.faults.frozen and
-            not member.would_send(copyfleets.STEADY)
+            not member.may_send_to(copyfleets.STEADY_SERVER)
         ])
 
 
 class StaleCopyTest(unittest.TestCase):
-    """No decision rests on a copy of the store that is older than allowed."""
+    """No decision rests on a copy of the store that is older than allowed.
 
-    def test_each_hop_in_turn(self):
+    Otherwise, when a hop between the store and an entry is slow, frozen or cut,
+    the entry could send requests to a server that has left, or reject requests
+    for a new route, after the operator's bound.
+    """
+
+    def test_each_fault_alone(self):
         for name, fault in _FAULTS.items():
             with self.subTest(name):
-                self.assertEqual(_play((fault,)), _Played([], []))
+                self.assertEqual(_run_change((fault,)), _RunResult([], []))
 
-    def test_two_at_once(self):
+    def test_two_faults_at_once(self):
         for first, second in (('domain cut from the store', 'relay frozen'),
                               ('hub frozen', 'changes applied late'),
                               ('configuration unread',
                                'hub cut from the store')):
             with self.subTest(f'{first}, {second}'):
-                played = _play((_FAULTS[first], _FAULTS[second]))
+                played = _run_change((_FAULTS[first], _FAULTS[second]))
                 self.assertEqual(played.late, [])
 
-    def test_entries_go_on_while_the_store_is_away_from_all(self):
+    def test_entries_go_on_while_the_store_is_unreachable_for_all(self):
         with _start_fleet() as fleet:
             for member in fleet.members:
                 member.path.hold()
@@ -149,7 +155,7 @@
             until = time.monotonic() + _BOUND_S
             refused = 0
             while time.monotonic() < until:
-                refused += sum(not member.would_send(copyfleets.STEADY)
+                refused += sum(not member.may_send_to(copyfleets.STEADY_SERVER)
                                for member in fleet.members)
                 time.sleep(0.05)
             self.assertEqual(refused, 0)
--- a/tests/test_platform_revisions.py
+++ b/tests/test_platform_revisions.py
@@ -33,7 +33,7 @@
     def _configure(self, version: int) -> None:
         self.standin.put('op/config', platformhelp.make_configuration(version))
 
-    def test_watch_from_before_it_asks_for_a_whole_read(self):
+    def test_watch_from_before_the_restore_requires_a_full_read(self):
         self._configure(2)
         before = self.store.load()
         self.standin.restore(self.copy)
@@ -47,7 +47,7 @@
         self.assertGreater(after.revision, before.revision)
         self.assertEqual(after.configuration.version, 5)
 
-    def test_write_from_before_it_is_refused_at_the_same_number(self):
+    def test_write_from_before_the_restore_conflicts_at_the_same_number(self):
         revision = self.store.save(_ASSIGNMENT, 0)
         self.standin.restore(self.copy)
         other = self._connect()
@@ -59,7 +59,7 @@
         self.assertIs(found.reason, outcomes.Reason.CONFLICT)
         self.assertEqual(self.store.load_assignment('x').assignment, rival)
 
-    def test_own_write_is_of_the_era_in_which_it_was_found(self):
+    def test_lost_answer_to_a_write_keeps_the_era_of_the_write(self):
         find_own = store_module._find_own  # pylint: disable=protected-access
 
         def find_beside_a_restore(*args):
@@ -74,7 +74,7 @@
         self.assertEqual(self.store.find_era(), 2)
         self.assertEqual(revisions.find_era(revision), 1)
 
-    def test_role_under_an_earlier_lease_is_written_again(self):
+    def test_role_under_an_earlier_lease_is_rewritten(self):
         first = self.store.open_lease(5_000.0)
         self.assertIsNone(self.store.claim_coordination('x', _PEER, first, 0))
         second = self.store.open_lease(5_000.0)
@@ -82,7 +82,7 @@
         self.store.end_lease(first)
         self.assertIn('x', self.store.load().coordinators)
 
-    def test_news_do_not_reach_across_it(self):
+    def test_news_does_not_span_the_restore(self):
         before = self.store.load()
         self.standin.restore(self.copy)
         self._configure(2)
@@ -90,7 +90,7 @@
         self.assertIsNone(self.store.encode_news(before.revision, _ROOM))
         self.assertEqual(self.store.encode_news(after.revision, _ROOM), b'')
 
-    def test_dump_from_before_it_brings_nothing_back(self):
+    def test_dump_from_before_the_restore_brings_nothing_back(self):
         self.standin.put('lentilmoor/entry/e9', b'["e9","a:9",false,"d"]')
         behind = self._connect()
         behind.load()
@@ -101,7 +101,7 @@
         found = self.store.load()
         self.assertEqual(found.entries, {})
 
-    def test_dump_from_after_it_replaces_what_was_known(self):
+    def test_dump_from_after_the_restore_replaces_the_copy(self):
         self.standin.put('lentilmoor/entry/e9', b'["e9","a:9",false,"d"]')
         before = self.store.load()
         self.assertIn('e9', before.entries)
@@ -112,7 +112,7 @@
         self.assertEqual(found.entries, {})
         self.assertGreater(found.revision, before.revision)
 
-    def test_restore_is_told_once(self):
+    def test_restore_is_reported_once(self):
         told = []
         self.store.on_restore(lambda: told.append(self.store.find_era()))
         self.store.load()
@@ -132,7 +132,7 @@
         self.standin.faults.lose_answers = 1
         self.assertEqual(self.store.save(_ASSIGNMENT, 0), self.standin.revision)
 
-    def test_answer_without_era_is_no_restore(self):
+    def test_answer_without_era_is_not_a_restore(self):
         before = self.store.load()
         self.standin.era = 0
         self._configure(2)
