--- a/benchmarks/edge_spread.py
+++ b/benchmarks/edge_spread.py
@@ -3,7 +3,7 @@
 `python -m benchmarks edge_spread` prints for each way and size when a change is
 known to half and to 99 in 100 of all entries, what an entry costs the store,
 and the bytes that the busiest entry sends and an entry takes in, at rest. The
-tree is the one in use (`relays.find_place`), with its own pauses and limits.
+tree is the one in use (`relays.find_position`), with its own pauses and limits.
 
 Entries ask each other over links whose replies queue up at who sends them.
 Entries that are lost answer nothing, so that who asks them waits for its limit
--- a/lentilmoor/edge/relays.py
+++ b/lentilmoor/edge/relays.py
@@ -57,15 +57,17 @@
     position = ranked.index(own.address)
     relays = count_relays(len(ranked))
     others = [item for item in ranked[:relays] if item != own.address]
-    roots = sorted(hubs)
+    hub_addresses = sorted(hubs)
     if position < relays:
-        return TreePosition(True, (*roots, *others))
+        return TreePosition(True, (*hub_addresses, *others))
     parent = ranked[(position - relays) // RELAY_FANOUT]
     # Entries try the other relays in different orders, so that the entries of a
     # lost relay are distributed over the others.
-    turn = position % len(others)
-    others = [item for item in others[turn:] + others[:turn] if item != parent]
-    return TreePosition(False, (parent, *others, *roots))
+    offset = position % len(others)
+    others = [
+        item for item in others[offset:] + others[:offset] if item != parent
+    ]
+    return TreePosition(False, (parent, *others, *hub_addresses))
 
 
 def rank(own: ports.Peer, entries: Iterable[ports.Peer],
@@ -75,12 +77,12 @@
     Entries on large machines come first. The order depends on addresses, so an
     entry that restarts keeps its place. Hubs are left out.
     """
-    small = {
+    is_small = {
         peer.address: peer.small
         for peer in (*entries, own)
         if peer.domain == own.domain and peer.address not in hubs
     }
-    return sorted(small, key=lambda address: (small[address], address))
+    return sorted(is_small, key=lambda address: (is_small[address], address))
 
 
 def count_relays(entries: int) -> int:
