--- a/lentilmoor/edge/keyranges.py
+++ b/lentilmoor/edge/keyranges.py
@@ -1,6 +1,7 @@
 """Key ranges and their owners: the assignment of one keyed service.
 
-An assignment covers keys 0 to `tables.KEY_COUNT` - 1 with ranges that don't overlap.
+An assignment covers keys 0 to `tables.KEY_COUNT` - 1 with ranges that don't
+overlap.
 Each range carries its fencing token, in short its fence. A range whose owner
 changes gets a fence above all that were ever used for the service.
 """
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -247,7 +247,7 @@
 
     def test_requests_beyond_the_limit_are_answered_immediately(self):
         for _ in range(storecopy.MAX_WAITING_REQUESTS):
-            self.hub.held.acquire()
+            self.hub.wait_slots.acquire()
         asked = reports.NewsRequest('e9', self.hub.store_snapshot.revision)
         began = time.monotonic()
         reply = subscriptions.handle_news_request(self.hub, asked)
@@ -342,7 +342,7 @@
         self.follower.start_count = 1
         self.follower.activity = (what, self.time.at - 1_000.0)
         following.restart_following(self.follower)
-        self.addCleanup(setattr, self.follower, 'begun', 9)
+        self.addCleanup(setattr, self.follower, 'start_count', 9)
         return self.follower.start_count
 
     def test_leaf_with_a_hung_watch_reads_again(self):
@@ -410,7 +410,7 @@
             store.connect_store(standin.address, clock, logger), clock, logger,
             mock.Mock(), mock.Mock())
         follower.position = relays.TreePosition(False, ('b:1',))
-        self.addCleanup(setattr, follower, 'begun', 9)
+        self.addCleanup(setattr, follower, 'start_count', 9)
         following.restart_following(follower)
         platformhelp.wait_until(lambda: follower.activity[0] == 'wait', 3.0)
         standin.faults.away = 'silent'
