--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -1,4 +1,4 @@
-"""A request on its way, and what all requests of an entry share."""
+"""Requests in flight, and the state that all requests of an entry share."""
 
 from collections.abc import Mapping
 import dataclasses
@@ -28,15 +28,15 @@
     """A caller's request.
 
     Attributes:
-      fields: What its headers say to entries.
+      fields: Headers that are addressed to entries.
       method: HTTP method.
       host: Host header.
-      path: Path without its query, as it was sent.
-      target: Path and query, as they were sent.
-      headers: What goes on to the server.
-      body: Its whole body.
-      watch: Watches the caller's connection.
-      arrived_at: ms.
+      path: Path without the query, as received.
+      target: Path and query, as received.
+      headers: Headers that are forwarded to the server.
+      body: The complete body.
+      watch: Detects whether the caller has closed its connection.
+      arrived_at: Time of arrival, ms.
     """
 
     fields: ports.CallerFields
@@ -52,16 +52,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """What was seen of a request for a key; reported to the coordinator.
+    """A request for a key, as reported to the coordinator.
 
-    Requests that were refused count too: what a server could not serve is
-    what tells that its keys are to move.
+    Refused requests are reported as well: demand that a server can't serve
+    shows the coordinator that its keys have to move.
 
     Attributes:
       service: Name of the service.
       key: The request's key.
       server: Id of the server.
-      work_ms: Time of work; 0 if the server did not run it.
+      work_ms: Processing time; 0 if the server did not run the request.
     """
 
     service: str
@@ -72,48 +72,55 @@
 
 @dataclasses.dataclass(slots=True)
 class Forwarder:
-    """What request threads share.
+    """State shared by all request threads of an entry.
 
     Attributes:
-      clock: Time.
-      platform: The adapter.
-      logger: Takes a line for each request that isn't answered by a server.
-      index: Routes of the configuration in force.
-      snapshot: What is known; replaced as a whole.
-      changed: Notified when the snapshot was replaced.
-      states: What was seen of servers, by id.
-      pools: Connections, by server id.
-      repeats: Repeats, by service.
-      running: Requests on their way.
+      clock: Clock.
+      platform: Platform adapter.
+      logger: Logs each request that isn't answered by a server.
+      rules: Limits of the connection pools.
+      route_index: Routes of the configuration in force.
+      snapshot: Known entries, servers, assignments and configuration; replaced
+        as a whole.
+      changed: Notified when the snapshot is replaced.
+      server_states: Observations of servers, by id.
+      pools: Connection pools, by server id.
+      retry_budgets: Retry budgets, by service.
+      in_flight: Requests in flight.
       rate_limits: Rate limits that servers have set.
       permit_table: Requests and issues permits for servers with a rate limit.
-      samples: Requests for keys that are still to be reported.
-      hurry: Set when a report should not wait: a key has moved.
-      unserved: First and last keys that no server holds now, by service.
-      coordinated: What this entry tells the others, of each service that it
-        coordinates; replaced as a whole.
+      samples: Requests for keys that have not been reported yet.
+      report_now: Set when the next report must be sent immediately because a
+        key has moved.
+      unserved_ranges: First and last keys that no server holds now, by service.
+      coordinated: State that this entry reports to the others for each service
+        that it coordinates; replaced as a whole.
       suspects: Requests that crash servers (see `suspects`).
-      losses: Requests that servers have not answered, by server id.
-      blocked: Fingerprints of blocked requests that were logged.
-      tries_suspects: Whether this entry tries blocked requests once more.
-      tried: When it did so last, ms, by fingerprint.
+      lost_requests: Requests that servers have not answered, by server id.
+      logged_blocked: Fingerprints of blocked requests that were logged.
+      runs_trials: Whether this entry runs trials: it sends a blocked request to
+        a server once more.
+      last_trials_at: Time of the last trial, ms, by fingerprint.
       started_at: When this process started, ms.
       departure: When this process ends.
-      limits: How old what is known may be.
-      freshness: Up to when what is known of the store is complete.
-      followed: How far this entry has followed the store, by itself or by the
-        hub.
-      version: Of the configuration that it knows.
-      configuration_revision: Up to which revision of the store no configuration
+      age_limits: Maximum age of the data that requests are routed and sent by.
+      freshness: Times up to which the copy of the store is complete.
+      followed_revision: Revision of the store that this entry has followed,
+        from the store or from the hub.
+      configuration_version: Version of the configuration in the copy.
+      configuration_revision: Revision of the store up to which no configuration
         is newer.
-      newest_version: Of the newest configuration that it knows to be in force.
-      news: How far it has by itself.
-      heard: How far the hub has, and what changed, as it told last.
-      outdated_logged_at: When a request that was refused or sent by an old
-        copy of the store was last logged, ms.
+      newest_configuration_version: Version of the newest configuration that is
+        known to be in force.
+      own_progress: Progress of this entry in following the store itself.
+      hub_progress: Progress of the hub, and changes, as last reported by it.
+      stale_logged_at: When a request that was refused or sent by a stale copy
+        of the store was last logged, ms.
       unavailable_logged_at: When a request to a draining or paused server was
         last logged, ms.
-      lock: Guards states, pools, repeats, losses and trials.
+      lock: Guards `server_states`, `pools`, `retry_budgets`, `lost_requests`
+        and `last_trials_at`.
+      generator: Source of the random numbers for routing.
     """
 
     clock: clocks.Clock
@@ -173,20 +180,21 @@
 
 @dataclasses.dataclass(slots=True, eq=False)
 class Run:
-    """A request on its way.
+    """A request in flight, with the state of its attempts.
 
     Attributes:
       request: The request.
-      route: Its route.
-      service: The service that runs it.
-      until: When it is given up, ms.
-      server: Id of the server that works on it; '' while it waits.
-      sent_at: When it was sent there, ms.
-      sent: Servers that it was sent to.
-      avoid: Servers that are not to be tried again.
-      may_have_run: Whether a try ended without a certain outcome.
-      last: A server's failure that is passed on if no try does better.
-      on_trial: Whether it is a blocked request that is tried once more.
+      route: Route that the request matches.
+      service: The service that runs the request.
+      deadline_at: When the request times out, ms.
+      server: Id of the server that processes the request; '' while it waits.
+      sent_at: When it was sent to that server, ms.
+      sent_to: Ids of servers that it was sent to.
+      excluded_servers: Ids of servers that must not be tried again.
+      may_have_run: Whether an attempt ended with an unknown outcome.
+      last_failure: A server's error response, returned to the caller if no
+        later attempt succeeds.
+      is_trial: Whether this is the trial of a blocked request.
     """
 
     request: Request
@@ -203,22 +211,22 @@
 
     @property
     def idempotent(self) -> bool:
-        """Whether it may be run more than once."""
+        """Whether the request may be run more than once."""
         return self.route.repeat is tables.Repeat.IDEMPOTENT
 
 
 def find_knowledge_age(forwarder: Forwarder) -> float:
-    """Returns how long ago an entry knew all that the store held, ms."""
+    """Returns the age of this entry's data on servers, ms."""
     return find_age(forwarder, forwarder.freshness.known.servers_at)
 
 
 def find_age(forwarder: Forwarder, known_at: float) -> float:
-    """Returns how long ago a time was, ms."""
+    """Returns the time since `known_at`, ms, at most `reports.NEVER_MS`."""
     return min(forwarder.clock.now() - known_at, reports.NEVER_MS)
 
 
 def list_other_entries(forwarder: Forwarder) -> set[str]:
-    """Returns the addresses of the other entries."""
+    """Returns the control addresses of the other entries, seeds included."""
     settings = forwarder.platform.settings
     known = {peer.address for peer in forwarder.snapshot.entries.values()
             } | set(settings.seeds)
@@ -227,19 +235,29 @@
 
 
 def is_server_data_recent(forwarder: Forwarder) -> bool:
-    """Returns whether requests may be sent by what is known of servers."""
+    """Returns whether the data on servers is recent enough to send requests.
+
+    While the store is unavailable to all entries, older data is used.
+    """
     known_at = staleness.find_applied(forwarder.freshness).servers_at
     return _is_usable(forwarder, known_at, forwarder.age_limits.send_ms)
 
 
 def is_configuration_recent(forwarder: Forwarder) -> bool:
-    """Returns whether requests may be routed by the configuration."""
+    """Returns whether the configuration is recent enough to route requests.
+
+    While the store is unavailable to all entries, an older one is used.
+    """
     known_at = staleness.find_applied(forwarder.freshness).configuration_at
     return _is_usable(forwarder, known_at, forwarder.age_limits.route_ms)
 
 
 def may_reject_unknown_route(forwarder: Forwarder) -> bool:
-    """Returns whether a route that isn't known certainly doesn't exist."""
+    """Returns whether the configuration is recent enough to reject a route.
+
+    A route that is missing from an older configuration may have been added
+    since.
+    """
     known_at = staleness.find_applied(forwarder.freshness).configuration_at
     return find_age(forwarder, known_at) <= forwarder.age_limits.deny_ms
 
@@ -250,7 +268,7 @@
 
 
 def is_store_unavailable(forwarder: Forwarder) -> bool:
-    """Returns whether the store seems to be away from everybody."""
+    """Returns whether the store appears to be unavailable to all entries."""
     return staleness.is_store_away(forwarder.freshness,
                                    list_other_entries(forwarder),
                                    forwarder.platform.store.find_silence(),
