--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -87,7 +87,7 @@
                                      route.timeout_ms)
     run = requests.Run(request, route, service, until)
     if verdict is quarantine.Verdict.SUSPECT:
-        run.is_trial = suspects.begin_trial(forwarder, request)
+        run.on_trial = suspects.begin_trial(forwarder, request)
     with forwarder.lock:
         retrybudgets.record_request(_budget_of(forwarder, name),
                                     forwarder.platform.settings.bounds,
@@ -191,7 +191,7 @@
 def _check_blocked(forwarder: requests.Forwarder,
                    run: requests.Run) -> outcomes.NotRun | None:
     """Returns the refusal of a request that has been blocked since it came."""
-    if run.is_trial or suspects.check(forwarder,
+    if run.on_trial or suspects.check(forwarder,
                                       run.request) is quarantine.Verdict.CLEAR:
         return None
     return suspects.refuse()
@@ -367,4 +367,5 @@
 def _budget_of(forwarder: requests.Forwarder,
                service: str) -> retrybudgets.RetryBudget:
     return forwarder.retry_budgets.setdefault(
-        service, retrybudgets.RetryBudget(started_at=forwarder.started_at))
+        service,
+        retrybudgets.RetryBudget(entry_started_at=forwarder.started_at))
--- a/lentilmoor/edge/placement.py
+++ b/lentilmoor/edge/placement.py
@@ -1,14 +1,18 @@
-"""Which server of a service runs a request that any of them may run.
+"""Selects the server with the lowest expected response time.
 
-Entries choose without asking each other. Each knows its own requests under
-way, what servers told with their last answers, and what all entries reported
-to the hub. The choice is the least expected time to an answer.
+Entries select servers independently. Each entry knows its own requests in
+flight, the load that servers reported with their last responses, and the load
+that all entries reported to the hub.
 
-What all entries know alike misleads them alike: they would all run to the
-server that looked free a moment ago. So the hub's view counts only where
-requests run longer than it takes to be told. In the load model (146 requests
-a second of 78 ms, 8 servers, 12 entries) its use lowered the worth earned from
-0.924 to 0.878; with 240 ms of work it raised it from 0.897 to 0.903.
+All entries get the same data from the hub, so they would all select the server
+that was idle when the data was collected (herd behaviour). The hub's data is
+therefore used only if processing takes longer than reporting. In the load model
+(146 requests per second of 78 ms each, 8 servers, 12 entries), using it lowered
+the mean value earned per request from 0.924 to 0.878; with a processing time of
+240 ms it raised it from 0.897 to 0.903.
+
+In this module, "work" is the time for which a server processes a request,
+without the time for which the request waits in the server's queue.
 """
 
 from collections.abc import Iterable
@@ -19,58 +23,64 @@
 from lentilmoor.edge import tables
 from lentilmoor.edge import workmeans
 
-# What is older than this fades, to half in so much time.
-REPORT_FRESH_MS = 1_200.0
-REPORT_HALF_LIFE_MS = 1_000.0
-# The hub's view counts for servers whose requests take so long: reports come
-# every 250 ms and are half as old on the mean.
-MIN_SHARED_VIEW_WORK_MS = 150.0
-# Weight of the newest answer in the mean time of work.
+# A reported load is used in full up to this age. Beyond it, it decays with this
+# half-life.
+LOAD_FRESH_MS = 1_200.0
+LOAD_HALF_LIFE_MS = 1_000.0
+# Minimum processing time at which the hub's data is used. Reports arrive every
+# 250 ms, so their mean age is half of that.
+MIN_HUB_DATA_WORK_MS = 150.0
+# Weight of the newest response in the mean processing time.
 NEWEST_WEIGHT = 0.04
-# Mean time of work of a server that has not answered yet, unless others of
-# its service have, ms.
+# Assumed processing time while no server of the service has responded.
 DEFAULT_WORK_MS = 100.0
-# A server that could not be connected to is left alone for this long at
-# first, twice as long each time after.
+# Backoff after a failed connection attempt; doubled with each further failure.
 MIN_BACKOFF_MS = 250.0
 MAX_BACKOFF_MS = 2_000.0
-# Requests that servers take beyond their slots: a few; some reset the
-# connection beyond that, and what may be run only once is lost then.
+# Requests that a server is assumed to queue in addition to those in its slots.
+# Beyond a few, some servers reset the connection, and a request that isn't
+# idempotent then fails with an unknown outcome.
 MAX_QUEUED_REQUESTS = 6
-# A cold server takes this many times as long.
+# Processing time of a server that is warming up, relative to a warm one.
 COLD_FACTOR = 2.0
-# Spread of the choice, so that entries with the same view differ.
+# Random spread of the scores, so that entries with the same data select
+# different servers.
 JITTER_FRACTION = 0.2
-# What the way to another failure domain counts for, ms; more for large
-# answers, whose bytes between failure domains are paid for.
+# Added to the score of a server in another failure domain. It is higher for
+# large responses because traffic between failure domains is charged by volume.
 CROSS_DOMAIN_MS = 3.0
 CROSS_DOMAIN_LARGE_MS = 25.0
-# Part of a failure that is forgotten with each good answer.
+# Factor by which a successful response reduces the failure rate, and a failure
+# reduces the success rate.
 _FAILURE_DECAY_FACTOR = 0.8
 
 
 @dataclasses.dataclass(slots=True)
 class ServerState:
-    """What an entry has seen of a server.
+    """Observations of a server by an entry.
 
     Attributes:
-      inflight: Own requests under way there.
-      work_ms: Mean time of work of own requests; 0 if unknown.
-      answers: Own requests that it answered.
-      shared_ms: Mean time of work of all entries' requests, as the hub told;
-        0 if it didn't.
-      others: Requests of other entries there, when it last told.
-      told_at: When that was, ms.
-      reported: Requests of other entries there, as they reported.
-      reported_at: When that was, ms.
-      avoid_until: Not to be used before, ms.
-      refusals: Connections in a row that failed.
-      failing: Part of the last requests that failed, 0 to 1.
-      answered_at: When it last answered, ms.
-      checked_at: When it was last asked for a connection after a loss, ms.
-      draining_at: When the first answer that reported it as draining was
-        received, ms; None if there was none.
-      paused_until: When the pause that it requested ends, ms; 0 if none.
+      inflight: This entry's requests in flight at the server.
+      work_ms: Mean processing time of this entry's requests; 0 if unknown.
+      answer_count: Number of this entry's requests in `work_ms`.
+      shared_work_ms: Mean processing time of all entries' requests, from the
+        hub; 0 if unknown.
+      other_in_flight: Requests of other entries at the server, derived from the
+        load in its last response.
+      other_in_flight_at: When that was received, ms.
+      reported_in_flight: Requests of other entries at the server, as these
+        entries reported them to the hub.
+      reported_in_flight_at: When that was received, ms.
+      backoff_until: The server isn't used before this time, ms.
+      connect_failures: Consecutive failed connection attempts.
+      failure_rate: Exponentially weighted fraction of failed requests, 0 to 1.
+      answered_at: When the server last responded, ms.
+      checked_at: When a connection was last attempted to check the server after
+        a lost request, ms.
+      draining_at: When the first response that reported the server as draining
+        was received, ms; None if there was none.
+      paused_until: When the pause that the server requested ends, ms; 0 if it
+        requested none.
     """
 
     inflight: int = 0
@@ -92,13 +102,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """A server and when it is expected to answer.
+    """A selected server and its expected response time.
 
     Attributes:
       server: The server.
-      expected_ms: Time until its answer.
-      full: Whether it would probably turn the request away.
-      work_ms: Mean time of work that this was worked out from.
+      expected_ms: Expected response time.
+      full: Whether the server would probably reject the request.
+      work_ms: Mean processing time that `expected_ms` was computed from.
     """
 
     server: tables.Server
@@ -109,12 +119,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChoiceCriteria:
-    """What a request asks of a choice.
+    """Properties of a request that affect the choice of its server.
 
     Attributes:
       domain: The entry's failure domain.
-      large: Whether a large answer is expected.
-      work_ms: Mean time of work of the service.
+      large: Whether a large response is expected.
+      work_ms: Mean processing time of the service.
     """
 
     domain: str
@@ -122,16 +132,19 @@
     work_ms: float
 
 
-def choose_server(servers: Iterable[tables.Server], states: dict[str,
-                                                                 ServerState],
-                  wish: ChoiceCriteria, now: float, random) -> Choice | None:
-    """Returns the server with the least expected time, or None if none is up.
+def choose_server(servers: Iterable[tables.Server],
+                  states: dict[str, ServerState], criteria: ChoiceCriteria,
+                  now: float, random) -> Choice | None:
+    """Returns the server with the best score, or None if all are in backoff.
+
+    The score is the expected response time, adjusted for failures, failure
+    domain and a random spread.
 
     Args:
-      servers: Those that may run the request.
-      states: What was seen of them, by id.
-      wish: What the request asks for.
-      now: ms.
+      servers: Servers that may run the request.
+      states: Observations of the servers, by id.
+      criteria: Properties of the request.
+      now: Current time, ms.
       random: Returns a number from 0 to 1.
     """
     best: Choice | None = None
@@ -140,15 +153,16 @@
         state = states.get(server.id) or _UNSEEN
         if state.backoff_until > now:
             continue
-        expected, full = estimate_response(server, state, wish.work_ms, now)
+        expected, full = estimate_response(server, state, criteria.work_ms, now)
         score = expected / (1.0 - 0.9 * state.failure_rate)
-        if server.domain != wish.domain:
-            score += CROSS_DOMAIN_LARGE_MS if wish.large else CROSS_DOMAIN_MS
+        if server.domain != criteria.domain:
+            score += (CROSS_DOMAIN_LARGE_MS
+                      if criteria.large else CROSS_DOMAIN_MS)
         score *= 1.0 + JITTER_FRACTION * random()
         if full:
             score += 10_000.0
         if score < best_score:
-            mean = estimate_server_work(state, wish.work_ms)
+            mean = estimate_server_work(state, criteria.work_ms)
             best, best_score = Choice(server, expected, full, mean), score
     return best
 
@@ -158,30 +172,31 @@
                       work_ms: float,
                       now: float,
                       alone: bool = False) -> tuple[float, bool]:
-    """Returns the expected time to an answer, ms, and whether it is full.
+    """Returns a server's expected response time, ms, and whether it is full.
 
     Args:
       server: The server.
-      state: What was seen of it.
-      work_ms: Mean time of work of its service.
-      now: ms.
-      alone: Whether no other server can run the request, so that entries
-        can't all choose the same.
+      state: Observations of the server.
+      work_ms: Mean processing time of the service.
+      now: Current time, ms.
+      alone: Whether no other server can run the request. The hub's data is then
+        used in any case, since it can't cause herd behaviour.
     """
     mean = estimate_server_work(state, work_ms)
     if server.warm_at > now:
         mean = max(mean, work_ms * COLD_FACTOR)
     ahead = state.inflight + _count_others(state, mean, alone, now)
-    waits = max(0.0, ahead + 1.0 - server.slots) / server.slots
-    return mean * (1.0 + waits), ahead >= server.slots + MAX_QUEUED_REQUESTS
+    queue_rounds = max(0.0, ahead + 1.0 - server.slots) / server.slots
+    return mean * (1.0 +
+                   queue_rounds), ahead >= server.slots + MAX_QUEUED_REQUESTS
 
 
 def estimate_server_work(state: ServerState, work_ms: float) -> float:
-    """Returns the mean time of work that a server is taken to have, ms.
+    """Returns the estimated mean processing time of a server, ms.
 
     Args:
-      state: What was seen of it.
-      work_ms: Mean time of work of its service; 0 if unknown.
+      state: Observations of the server.
+      work_ms: Mean processing time of the service; 0 if unknown.
     """
     if state.shared_work_ms:
         return state.shared_work_ms
@@ -193,29 +208,30 @@
 
 def _count_others(state: ServerState, work_ms: float, alone: bool,
                   now: float) -> float:
-    """Returns about how many requests of other entries are at a server."""
-    others, told_at = state.other_in_flight, state.other_in_flight_at
-    shared = alone or work_ms >= MIN_SHARED_VIEW_WORK_MS
-    if shared and state.reported_in_flight_at > told_at:
-        others, told_at = state.reported_in_flight, state.reported_in_flight_at
-    stale_ms = max(0.0, now - told_at - REPORT_FRESH_MS)
-    return others * 0.5**(stale_ms / REPORT_HALF_LIFE_MS)
+    """Returns the estimated number of other entries' requests at a server."""
+    others, others_at = state.other_in_flight, state.other_in_flight_at
+    uses_hub = alone or work_ms >= MIN_HUB_DATA_WORK_MS
+    if uses_hub and state.reported_in_flight_at > others_at:
+        others, others_at = (state.reported_in_flight,
+                             state.reported_in_flight_at)
+    stale_ms = max(0.0, now - others_at - LOAD_FRESH_MS)
+    return others * 0.5**(stale_ms / LOAD_HALF_LIFE_MS)
 
 
 def record_sent(state: ServerState) -> None:
-    """Counts a request in."""
+    """Records that a request is sent to a server."""
     state.inflight += 1
 
 
 def record_answer(state: ServerState, took_ms: float,
                   load: ports.ServerLoad | None, now: float) -> None:
-    """Takes in an answer; the request is counted out.
+    """Records a response and the end of its request.
 
     Args:
-      state: The server's.
-      took_ms: From sending to the whole answer.
-      load: What the server told, if it did.
-      now: ms.
+      state: Observations of the server.
+      took_ms: Time from sending the request to the complete response.
+      load: Load that the server reported with the response, if any.
+      now: Current time, ms.
     """
     state.inflight -= 1
     state.connect_failures = 0
@@ -230,20 +246,21 @@
 
 
 def record_work(state: ServerState, work_ms: float) -> None:
-    """Takes in how long a server worked on a request, ms."""
+    """Adds the processing time of a request, ms, to the server's mean."""
     state.answer_count += 1
     state.work_ms = workmeans.update_mean(state.work_ms, state.answer_count,
                                           NEWEST_WEIGHT, work_ms)
 
 
 def estimate_work(took_ms: float, load: ports.ServerLoad | None) -> float:
-    """Returns about how long a server worked on a request, ms.
+    """Returns the estimated processing time of a request, ms.
 
-    As many requests as wait now waited before this one, on the mean.
+    The number of requests that are queued now is used as an estimate of those
+    that were queued ahead of this one.
 
     Args:
-      took_ms: From sending to the whole answer.
-      load: What the server told with the answer, if it did.
+      took_ms: Time from sending the request to the complete response.
+      load: Load that the server reported with the response, if any.
     """
     if load is None:
         return took_ms
@@ -251,18 +268,20 @@
 
 
 def estimate_min_work(took_ms: float, choice: Choice) -> float:
-    """Returns how long a server has worked at least, ms, on what timed out.
+    """Returns a lower bound of the processing time of a timed-out request, ms.
 
-    It waited as long for each of those before it. Without this a server that
-    turned so slow that it answered nothing in time kept the speed that it once
-    had: 10% to 20% of requests timed out at five slow servers of 30 for 9 s.
+    The time in the queue and in processing is assumed to have grown in
+    proportion. Without this estimate, a server that has become too slow to
+    respond before any timeout keeps its earlier mean: when five of
+    30 servers were slow, 10% to 20% of the requests timed out for 9 s.
 
     Args:
-      took_ms: From sending until it was given up.
-      choice: Where it was sent, and what was expected.
+      took_ms: Time from sending the request to its timeout.
+      choice: The server that it was sent to, with the expected response time.
 
     Returns:
-      0 if it took no longer than was expected, which tells nothing.
+      0 if the request took no longer than expected: the timeout then doesn't
+      show that the server is slow.
     """
     if not choice.work_ms or took_ms <= choice.expected_ms:
         return 0.0
@@ -270,12 +289,12 @@
 
 
 def record_failure(state: ServerState, now: float, full: bool) -> None:
-    """Takes in a request that was turned away or lost.
+    """Records a request that was rejected or lost.
 
     Args:
-      state: The server's.
-      now: ms.
-      full: Whether the server said it had no room.
+      state: Observations of the server.
+      now: Current time, ms.
+      full: Whether the server rejected it because its queue was full.
     """
     state.inflight -= 1
     state.failure_rate = 1.0 - (1.0 -
@@ -305,22 +324,26 @@
 
 
 def record_connect_failure(state: ServerState, now: float) -> None:
-    """Takes in that no connection could be made."""
+    """Records a failed connection attempt and extends the server's backoff."""
     state.inflight -= 1
     state.connect_failures += 1
-    pause_ms = min(MAX_BACKOFF_MS,
-                   MIN_BACKOFF_MS * 2.0**(state.connect_failures - 1))
-    state.backoff_until = now + pause_ms
+    backoff_ms = min(MAX_BACKOFF_MS,
+                     MIN_BACKOFF_MS * 2.0**(state.connect_failures - 1))
+    state.backoff_until = now + backoff_ms
 
 
 def record_abandoned(state: ServerState) -> None:
-    """Counts out a request that was given up, which tells nothing."""
+    """Records the end of a request without a result.
+
+    It may have been withheld, or the caller may have closed its connection; the
+    server's mean processing time and failure rate stay the same.
+    """
     state.inflight -= 1
 
 
 def average_work(servers: Iterable[tables.Server],
                  states: dict[str, ServerState]) -> float:
-    """Returns the mean time of work of servers, ms; 0 if none is known."""
+    """Returns the mean processing time of servers, ms; 0 if none is known."""
     total = weights = 0.0
     for server in servers:
         state = states.get(server.id, _UNSEEN)
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -194,7 +194,7 @@
       may_have_run: Whether an attempt ended with an unknown outcome.
       last_failure: A server's error response, returned to the caller if no
         later attempt succeeds.
-      is_trial: Whether this is the trial of a blocked request.
+      on_trial: Whether this is the trial of a blocked request.
     """
 
     request: Request
@@ -207,7 +207,7 @@
     excluded_servers: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
     last_failure: tries.Answer | None = None
-    is_trial: bool = False
+    on_trial: bool = False
 
     @property
     def idempotent(self) -> bool:
--- a/lentilmoor/edge/retrybudgets.py
+++ b/lentilmoor/edge/retrybudgets.py
@@ -37,7 +37,7 @@
 
     buckets: collections.deque[TimeBucket] = dataclasses.field(
         default_factory=collections.deque)
-    started_at: float = -math.inf
+    entry_started_at: float = -math.inf
 
 
 def record_request(budget: RetryBudget, bounds: ports.Bounds,
@@ -60,7 +60,7 @@
     requests = sum(item.requests for item in budget.buckets)
     repeats = sum(item.retries for item in budget.buckets)
     fixed = bounds.retry_slack / max(1, entries)
-    if now < budget.started_at + bounds.retry_window_ms:
+    if now < budget.entry_started_at + bounds.retry_window_ms:
         # An earlier process of this entry may have used it.
         fixed = 0.0
     allowed = USED_FRACTION * (bounds.retry_ratio * requests + fixed)
--- a/lentilmoor/edge/selection.py
+++ b/lentilmoor/edge/selection.py
@@ -1,8 +1,9 @@
-"""Which server a request is sent to next, or why it is refused.
+"""Selects the server of a request's next attempt, or refuses the request.
 
-A request for a key goes to the key's owner, and waits a little while the key
-moves; any other goes to the server that is expected to answer first. What
-can't be served in time is refused at once.
+A request for a key goes to the owner of the key, and waits for a short time
+while the key moves to another owner. Any other request goes to the server with
+the lowest expected response time. A request that can't be served before its
+deadline is refused immediately.
 """
 
 from lentilmoor import clocks
@@ -15,15 +16,15 @@
 from lentilmoor.edge import requests
 from lentilmoor.edge import tables
 
-# How long a request waits for its key to get an owner: a little more than the
-# time in which keys are handed over.
+# Maximum time for which a request waits for an owner of its key: slightly more
+# than the handover of a key takes.
 MAX_OWNER_WAIT_MS = 400.0
-# How long a request waits at least after the owner of its key said that it
-# isn't, if no other owner is known yet. Keys are released when the work that
-# runs on them has ended, so it is the server's time of work where that is more.
+# Minimum time for which a request waits for another owner after a server has
+# rejected it as not the owner. It is the server's processing time if that is
+# longer, since a server releases a key only when its requests have ended.
 MIN_OWNER_WAIT_MS = 60.0
-# Times to come back, ms: after a service was full, and after a key had no
-# owner.
+# Retry-After of a refusal, ms: if no server of the service takes the request,
+# and if the key has no usable owner.
 SERVICE_RETRY_MS = 120
 OWNER_RETRY_MS = 200
 
@@ -32,7 +33,7 @@
 
 def select_server(forwarder: requests.Forwarder,
                   run: requests.Run) -> placement.Choice | outcomes.NotRun:
-    """Returns where the next try of a request goes, or why there is none."""
+    """Returns the server for the next attempt of a request, or the refusal."""
     if run.service.keyed:
         return _select_owner(forwarder, run)
     now = forwarder.clock.now()
@@ -47,28 +48,30 @@
     }
     servers = [server for server in candidates if not waits_ms[server.id]]
     with forwarder.lock:
-        wish = placement.ChoiceCriteria(
+        criteria = placement.ChoiceCriteria(
             forwarder.platform.settings.domain, run.route.large,
             placement.average_work(servers, forwarder.server_states))
-        choice = placement.choose_server(servers, forwarder.server_states, wish,
-                                         now, forwarder.generator.random)
+        choice = placement.choose_server(servers, forwarder.server_states,
+                                         criteria, now,
+                                         forwarder.generator.random)
     if choice is None and not servers and waits_ms:
         return outcomes.NotRun(
-            _Reason.OVERLOADED, 'no server takes requests',
+            _Reason.OVERLOADED, 'all servers are paused or rate-limited',
             round(admission.clamp_retry_after(min(waits_ms.values()))))
     if choice is None:
-        return outcomes.NotRun(_Reason.NO_SERVER, 'no server is up',
+        return outcomes.NotRun(_Reason.NO_SERVER, 'no server is available',
                                SERVICE_RETRY_MS)
     return _check_admission(run, choice, now)
 
 
 def may_send(forwarder: requests.Forwarder, service: tables.Service,
              server_id: str) -> bool:
-    """Returns whether a server may be sent a request now.
+    """Returns whether a request may be sent to a server now.
 
-    Nothing is sent by knowledge that is too old. Not one that has left; one
-    that leaves, only what it alone may run, and only for a while: its keys may
-    stay with it for longer, if the coordinator can't move them.
+    Nothing is sent if the data on servers is too old, or to a server that has
+    left or is paused. A draining server gets only requests that no other server
+    may run, those for its keys, and only for a limited time: its keys may stay
+    with it for longer if the coordinator can't move them.
     """
     if not requests.is_server_data_recent(forwarder):
         return False
@@ -108,7 +111,8 @@
         _record_refused_demand(forwarder, run, server)
     left_ms = run.deadline_at - clock.now()
     return outcomes.NotRun(
-        _Reason.OVERLOADED, f'{server.id} takes {limit.rate} requests a second',
+        _Reason.OVERLOADED,
+        f'{server.id} has a rate limit of {limit.rate} requests per second',
         round(
             admission.clamp_retry_after(
                 max(wait_ms, left_ms * admission.RETRY_AFTER_FRACTION))))
@@ -116,21 +120,21 @@
 
 def _is_past_drain(forwarder: requests.Forwarder,
                    server: tables.Server) -> bool:
-    """Returns whether a server that leaves may be sent nothing any more."""
+    """Returns whether the time to send requests to a leaving server is over."""
     times = (server.leaves_at, _find_draining_at(forwarder, server))
     leaves_at = min((at for at in times if at is not None), default=None)
     if leaves_at is None:
         return False
     bounds = forwarder.platform.settings.bounds
-    last = leaves_at + bounds.drain_ms - forwarder.age_limits.leave_ms
-    return forwarder.clock.now() >= last
+    last_send_at = leaves_at + bounds.drain_ms - forwarder.age_limits.leave_ms
+    return forwarder.clock.now() >= last_send_at
 
 
 def _find_draining_at(forwarder: requests.Forwarder,
                       server: tables.Server) -> float | None:
-    """Returns when this entry learned that a server is draining, ms.
+    """Returns when this entry received that a server is draining, ms.
 
-    A server's answers report draining even if the store is unavailable.
+    A server's responses report draining even if the store is unavailable.
     """
     state = forwarder.server_states.get(server.id)
     if state is not None and state.draining_at is not None:
@@ -154,26 +158,31 @@
 
 def _check_admission(run: requests.Run, choice: placement.Choice,
                      now: float) -> placement.Choice | outcomes.NotRun:
-    """Refuses at once what can't be served in time."""
-    prospect = admission.WaitEstimate(choice.expected_ms, choice.full,
+    """Refuses a request that can't be served before its deadline."""
+    estimate = admission.WaitEstimate(choice.expected_ms, choice.full,
                                       run.deadline_at - now)
-    back_ms = admission.find_retry_after(prospect)
-    if back_ms is None:
+    retry_after_ms = admission.find_retry_after(estimate)
+    if retry_after_ms is None:
         return choice
     return outcomes.NotRun(
-        _Reason.OVERLOADED, f'{choice.server.id} is expected to answer in '
-        f'{choice.expected_ms:.0f} ms, of {prospect.left_ms:.0f} ms left' +
-        (', and is full' if choice.full else ''), round(back_ms))
+        _Reason.OVERLOADED, f'{choice.server.id} is expected to respond in '
+        f'{choice.expected_ms:.0f} ms, with {estimate.left_ms:.0f} ms left' +
+        (', and its queue is full' if choice.full else ''),
+        round(retry_after_ms))
 
 
 def _select_owner(forwarder: requests.Forwarder,
                   run: requests.Run) -> placement.Choice | outcomes.NotRun:
-    """Finds the owner of the request's key; waits a little for a new one."""
+    """Returns the owner of the request's key, or the refusal.
+
+    Waits for a short time if the key has no usable owner.
+    """
     key = run.request.fields.key
-    began = forwarder.clock.now()
-    wait_until = min(run.deadline_at, began + MAX_OWNER_WAIT_MS)
+    began_at = forwarder.clock.now()
+    wait_until = min(run.deadline_at, began_at + MAX_OWNER_WAIT_MS)
     if _is_unserved(forwarder, run.service.name, key):
-        return outcomes.NotRun(_Reason.NO_OWNER, 'no server holds the key now',
+        return outcomes.NotRun(_Reason.NO_OWNER,
+                               'no server currently holds the key',
                                OWNER_RETRY_MS)
     while True:
         snapshot = forwarder.snapshot
@@ -185,22 +194,24 @@
             _record_refused_demand(forwarder, run, server)
             return outcomes.NotRun(
                 _Reason.OVERLOADED,
-                f'{server.id} takes no requests for {pause_left_ms:.0f} ms',
+                f'{server.id} is paused for another {pause_left_ms:.0f} ms',
                 round(admission.clamp_retry_after(pause_left_ms)))
         if server is not None and not may_send(forwarder, run.service,
                                                server.id):
             server = None
         if server is not None and (server.id not in run.excluded_servers or
-                                   now >= began +
+                                   now >= began_at +
                                    _find_min_owner_wait(forwarder, server)):
             break
         if now >= wait_until:
-            return outcomes.NotRun(_Reason.NO_OWNER, 'the key has no owner',
+            return outcomes.NotRun(_Reason.NO_OWNER,
+                                   'the key has no usable owner',
                                    OWNER_RETRY_MS)
         if run.request.watch.is_gone():
             return outcomes.NotRun(
-                _Reason.CANCELLED, f'waited for an owner of key {key}, '
-                f'sent to {run.excluded_servers}')
+                _Reason.CANCELLED,
+                f'cancelled while waiting for an owner of key {key}; '
+                f'excluded servers: {run.excluded_servers}')
         forwarder.report_now.set()
         await_snapshot(forwarder, snapshot,
                        min(wait_until, now + MIN_OWNER_WAIT_MS) - now)
@@ -209,7 +220,7 @@
                                                    placement.ServerState())
         if state.backoff_until > now:
             return outcomes.NotRun(_Reason.NO_SERVER,
-                                   'the owner of the key is down',
+                                   'the owner of the key is unreachable',
                                    OWNER_RETRY_MS)
         work_ms = state.shared_work_ms or placement.average_work(
             snapshot.servers[run.service.name].values(),
@@ -238,7 +249,7 @@
 
 def _find_min_owner_wait(forwarder: requests.Forwarder,
                          server: tables.Server) -> float:
-    """Returns how long to look for another owner of a key, ms."""
+    """Returns the minimum time to wait for another owner of a key, ms."""
     state = forwarder.server_states.get(server.id)
     work_ms = state.shared_work_ms if state is not None else 0.0
     return min(MAX_OWNER_WAIT_MS, max(MIN_OWNER_WAIT_MS, work_ms))
@@ -262,12 +273,12 @@
 
 def await_snapshot(forwarder: requests.Forwarder, seen: tables.Snapshot,
                    wait_ms: float) -> None:
-    """Waits until another snapshot has replaced one, or a time is over.
+    """Waits until a snapshot is replaced by another one.
 
     Args:
-      forwarder: What request threads share.
+      forwarder: State shared by request threads.
       seen: The snapshot.
-      wait_ms: The longest time.
+      wait_ms: Maximum time to wait.
     """
     with forwarder.changed:
         if forwarder.snapshot is seen:
--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -147,7 +147,7 @@
 
 def may_repeat(forwarder: requests.Forwarder, run: requests.Run) -> bool:
     """Returns whether a request that was lost may go to another server."""
-    if run.is_trial:
+    if run.on_trial:
         return False
     suspect = forwarder.suspects.suspects.get(make_fingerprint(run.request))
     return suspect is None or len(suspect.crashes) < _LAST_REPEAT
--- a/tests/test_edge_routing.py
+++ b/tests/test_edge_routing.py
@@ -225,7 +225,8 @@
         for now in range(0, 40_000, 50):
             if now % 4_000 == 0:
                 entries = [
-                    retrybudgets.RetryBudget(started_at=now) for _ in range(12)
+                    retrybudgets.RetryBudget(entry_started_at=now)
+                    for _ in range(12)
                 ]
             budget = entries[now // 50 % 12]
             retrybudgets.record_request(budget, _BOUNDS, now)
