--- a/lentilmoor/edge/admission.py
+++ b/lentilmoor/edge/admission.py
@@ -1,19 +1,22 @@
-"""Whether a request may wait at a server, or is refused at once.
-
-Answers load at its worst: bursts, hot keys, servers that shed. A request is
-let in if it can be expected to be answered before it is given up; whoever is
-refused is told at once when the surplus will have been worked off. Letting in
-only what meets its goal while a queue stays was tried in the load model: it
-earned 0.01 to 0.03 less, since a queue of a few requests is too short to build
-up and too noisy to judge.
+"""Admission control: whether a request is sent to a server or refused.
+
+Protects against overload: bursts, hot keys and servers that shed load. A
+request is admitted if it is expected to be answered before its deadline. The
+caller of a refused request is told immediately when to retry: when the excess
+load is expected to have been processed.
+
+The latency goal isn't used. In the load model, admitting only requests that
+meet their goal while a queue persists lowered the value earned by 0.01 to 0.03:
+a queue of a few requests is too short to build up, and its length too noisy a
+signal.
 """
 
 import dataclasses
 
-# A refused caller is told to come back when the surplus is expected to have
-# been worked off, but not before this part of its time has passed, and within
-# these limits: sooner it would meet the same queue, later it may have no time
-# left.
+# Limits of the retry delay of a refused caller. The delay is the time after
+# which the excess load is expected to have been processed, but at least a
+# fraction of the time left until the deadline. With a shorter delay the retry
+# would meet the same queue; with a longer one it might come after the deadline.
 MIN_RETRY_AFTER_MS = 40.0
 RETRY_AFTER_FRACTION = 0.15
 MAX_RETRY_AFTER_MS = 1_000.0
@@ -21,12 +24,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WaitEstimate:
-    """What a request has to expect at a server.
+    """Expected response time of a request at a server.
 
     Attributes:
-      expected_ms: Time to its answer.
-      full: Whether the server would probably turn it away.
-      left_ms: Time until it is given up.
+      expected_ms: Expected time until the response.
+      full: Whether the server would probably reject the request.
+      left_ms: Time left until the request's deadline.
     """
 
     expected_ms: float
@@ -34,22 +37,27 @@
     left_ms: float
 
 
-def find_retry_after(prospect: WaitEstimate) -> float | None:
-    """Decides whether a request may wait.
+def find_retry_after(estimate: WaitEstimate) -> float | None:
+    """Returns the retry delay of a request that isn't admitted.
 
     Args:
-      prospect: What it has to expect.
+      estimate: Expected response time of the request.
 
     Returns:
-      None if it may; else when its caller is to come back, ms.
+      None if the request is admitted, otherwise the delay after which its
+      caller may retry, ms.
     """
-    if not prospect.full and prospect.expected_ms <= prospect.left_ms:
+    if not estimate.full and estimate.expected_ms <= estimate.left_ms:
         return None
     return clamp_retry_after(
-        max(prospect.expected_ms - prospect.left_ms,
-            prospect.left_ms * RETRY_AFTER_FRACTION))
+        max(estimate.expected_ms - estimate.left_ms,
+            estimate.left_ms * RETRY_AFTER_FRACTION))
+
 
+def clamp_retry_after(excess_ms: float) -> float:
+    """Returns the retry delay of a refused caller, ms, within its limits.
 
-def clamp_retry_after(surplus_ms: float) -> float:
-    """Returns when a refused caller is to come back, ms."""
-    return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, surplus_ms))
+    Args:
+      excess_ms: Time until the excess load is expected to be processed.
+    """
+    return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, excess_ms))
--- a/lentilmoor/edge/attemptresults.py
+++ b/lentilmoor/edge/attemptresults.py
@@ -1,4 +1,8 @@
-"""What the end of a try means for its request and for what is known."""
+"""Evaluates the result of an attempt to send a request to a server.
+
+It decides whether the request ends or another attempt may follow, and updates
+the observations of the server.
+"""
 
 from lentilmoor import outcomes
 from lentilmoor.edge import exchange
@@ -19,13 +23,17 @@
                 choice: placement.Choice, state: placement.ServerState,
                 lost: outcomes.Unknown,
                 took_ms: float) -> requests.Outcome | None:
-    """Takes in a try without an answer; None if another may follow."""
+    """Records an attempt without a response.
+
+    Returns:
+      The outcome of the request, or None if another attempt may follow.
+    """
     now, server = forwarder.clock.now(), choice.server
     if lost.reason is _Reason.TIMED_OUT:
-        least_ms = placement.estimate_min_work(took_ms, choice)
-        if least_ms:
-            placement.record_work(state, least_ms)
-            _note_work(forwarder, run, server, least_ms)
+        min_work_ms = placement.estimate_min_work(took_ms, choice)
+        if min_work_ms:
+            placement.record_work(state, min_work_ms)
+            _record_sample(forwarder, run, server, min_work_ms)
     with forwarder.lock:
         placement.record_failure(state, now, False)
     run.excluded_servers.add(server.id)
@@ -47,7 +55,11 @@
                   server: tables.Server, state: placement.ServerState,
                   reply: exchange.Reply,
                   took_ms: float) -> requests.Outcome | None:
-    """Takes in an answer; None if another try may follow."""
+    """Records a server's response.
+
+    Returns:
+      The outcome of the request, or None if another attempt may follow.
+    """
     now = forwarder.clock.now()
     status, fields = reply.answer.status, reply.fields
     state.answered_at = now
@@ -55,7 +67,7 @@
                          fields.proven and not fields.not_run)
     ratelimits.note_answer(forwarder.rate_limits, server.id, fields.rate_limit,
                            now, forwarder.logger)
-    _note_availability(forwarder, server, state, fields, now)
+    _record_availability(forwarder, server, state, fields, now)
     if fields.not_run:
         with forwarder.lock:
             placement.record_failure(state, now, status == 503)
@@ -63,36 +75,38 @@
         if run.service.keyed:
             forwarder.report_now.set()
         return None
-    good = status < _MIN_SERVER_ERROR
+    succeeded = status < _MIN_SERVER_ERROR
     if status in _SUCCESS_STATUSES and not fields.proven:
-        good = False
+        succeeded = False
     with forwarder.lock:
-        if good:
+        if succeeded:
             placement.record_answer(state, took_ms, fields.load, now)
         else:
             placement.record_failure(state, now, False)
-    if good:
-        _note_work(forwarder, run, server,
-                   placement.estimate_work(took_ms, fields.load))
+    if succeeded:
+        _record_sample(forwarder, run, server,
+                       placement.estimate_work(took_ms, fields.load))
     if status in _SUCCESS_STATUSES and not fields.proven:
         run.may_have_run = True
-        lost = outcomes.Unknown(_Reason.ANSWER_CUT, 'an answer without proof')
+        lost = outcomes.Unknown(
+            _Reason.ANSWER_CUT, 'the response carries no proof from the server')
         return None if run.idempotent else lost
-    if not good and run.idempotent:
+    if not succeeded and run.idempotent:
         run.excluded_servers.add(server.id)
         run.may_have_run = True
         run.last_failure = reply.answer
         return None
     if status in (408, 421, 429, 503) and not run.idempotent:
-        # Callers would take it for a promise that it has not run.
+        # Callers interpret these statuses as a guarantee that the request has
+        # not run.
         return outcomes.Unknown(_Reason.CONNECTION_LOST,
-                                f'the server answered {status}')
+                                f'the server responded with status {status}')
     return reply.answer
 
 
-def _note_availability(forwarder: requests.Forwarder, server: tables.Server,
-                       state: placement.ServerState, fields: ports.AnswerFields,
-                       now: float) -> None:
+def _record_availability(forwarder: requests.Forwarder, server: tables.Server,
+                         state: placement.ServerState,
+                         fields: ports.AnswerFields, now: float) -> None:
     """Records and logs that a server is draining or requests a pause."""
     if not (fields.draining or fields.retry_after_ms):
         return
@@ -111,8 +125,8 @@
                               pause_ms=round(fields.retry_after_ms))
 
 
-def _note_work(forwarder: requests.Forwarder, run: requests.Run,
-               server: tables.Server, work_ms: float) -> None:
+def _record_sample(forwarder: requests.Forwarder, run: requests.Run,
+                   server: tables.Server, work_ms: float) -> None:
     if run.service.keyed:
         forwarder.samples.append(
             requests.Sample(run.service.name, run.request.fields.key, server.id,
@@ -121,10 +135,10 @@
 
 def find_outcome(run: requests.Run,
                  refusal: outcomes.NotRun) -> requests.Outcome:
-    """Returns the outcome of a request for which no try is left.
+    """Returns the outcome of a request for which no attempt is left.
 
-    A refusal says that the request has not run; where it may have, the caller
-    is told a server's own failure, or that it isn't known.
+    A refusal states that the request has not run. If it may have run, the
+    outcome is a server's error response if there was one, otherwise unknown.
     """
     if refusal.reason is _Reason.CANCELLED:
         return exchange.Gone(refusal.detail)
