--- a/lentilmoor/edge/loads.py
+++ b/lentilmoor/edge/loads.py
@@ -1,8 +1,9 @@
-"""What entries report of requests for keys, and what follows from it.
+"""Load of keys and capacity of servers, from the reports of entries.
 
-Each entry tells the coordinator several times a second which keys it served
-and how long the servers worked. The coordinator lets counts fade, so that keys
-that were hot some seconds ago don't hold their place.
+Several times per second, each entry reports to the coordinator which keys were
+requested and how long servers processed the requests. The coordinator's counts
+decay exponentially, so that keys that were hot some seconds ago lose their
+weight.
 """
 
 from collections.abc import Iterable
@@ -18,15 +19,17 @@
 from lentilmoor.edge import tables
 from lentilmoor.edge import workmeans
 
-# A request counts for half after this time: hot keys move within seconds, and
-# the counts of a service's usual load still add up to some hundreds.
+# Half-life of request counts. It is short enough for hot keys to be moved
+# within seconds, and long enough for the counts of a service's usual load to
+# add up to some hundreds.
 HALF_LIFE_MS = 2_000.0
-# Answers that what an earlier coordinator learned counts for.
+# Number of responses that a mean from an earlier coordinator counts for.
 SEED_ANSWERS = 30
 MIN_CAPACITY, MAX_CAPACITY = 0.25, 3.0
-# A cold server takes twice as long.
+# Maximum capacity of a server that is warming up. Its requests take twice as
+# long.
 COLD_CAPACITY = 0.6
-# Converts a count with a half-life of `HALF_MS` to requests per second.
+# Converts a count with a half-life of `HALF_LIFE_MS` to requests per second.
 _RATE_PER_COUNT = math.log(2) / (HALF_LIFE_MS / clocks.MS_PER_S)
 # Fraction of a server's rate limit up to which load is assigned. The rest
 # absorbs variations in load.
@@ -61,16 +64,16 @@
 
 @dataclasses.dataclass(slots=True)
 class LoadTable:
-    """Requests by key and times of work by server, of one service.
+    """Requests by key and processing times by server, of one service.
 
     Attributes:
-      counts: By key, faded up to `faded_at`.
-      faded_at: ms.
-      works: By server id.
+      counts: Request counts by key, decayed up to `decayed_at`.
+      decayed_at: Time of the last decay, ms.
+      work_means: Mean processing times by server id.
       refusal_streaks: Refusals since the server last ran a request, by server
         id.
-      cached: Loads as last handed out.
-      cached_at: When that was, ms.
+      cached: Last result of `find_key_loads`.
+      cached_at: When it was computed, ms.
     """
 
     counts: dict[int, float] = dataclasses.field(default_factory=dict)
@@ -84,7 +87,7 @@
     cached_at: float = float('-inf')
 
     def add(self, rows: Iterable[reports.Row], now: float) -> None:
-        """Takes in reported requests."""
+        """Adds reported requests."""
         self._decay_counts(now)
         for key, server, work_ms in rows:
             self.counts[key] = self.counts.get(key, 0.0) + 1.0
@@ -99,15 +102,21 @@
                     self.work_means.setdefault(server, workmeans.WorkMean()),
                     work_ms)
 
-    def seed_work_means(self, learned: Mapping[str, float]) -> None:
-        """Takes over what an earlier coordinator learned of servers."""
-        for name, work_ms in learned.items():
+    def seed_work_means(self, means_ms: Mapping[str, float]) -> None:
+        """Adds mean processing times from an earlier coordinator.
+
+        Means that are already known are kept.
+
+        Args:
+          means_ms: Mean processing times by server id, ms.
+        """
+        for name, work_ms in means_ms.items():
             self.work_means.setdefault(
                 name, workmeans.WorkMean(work_ms, SEED_ANSWERS, work_ms))
 
     def list_work_means(self,
                         servers: Iterable[tables.Server]) -> dict[str, float]:
-        """Returns the mean time of work of servers that are known, ms."""
+        """Returns the mean processing times of servers that have one, ms."""
         return {
             server.id: round(self.work_means[server.id].ms, 1)
             for server in servers
@@ -115,7 +124,7 @@
         }
 
     def find_key_loads(self, now: float) -> keyloads.KeyLoads:
-        """Returns the load by key."""
+        """Returns the load by key, at most `_REFRESH_MS` old."""
         if now - self.cached_at >= _REFRESH_MS:
             self._decay_counts(now)
             self.cached = keyloads.KeyLoads(self.counts)
@@ -125,13 +134,13 @@
     def plan_transfers(self, ranges: Iterable[keyranges.KeyRange],
                        servers: Iterable[tables.Server],
                        now: float) -> list[rebalancing.Transfer]:
-        """Plans what makes load per capacity even (see `rebalancing`)."""
+        """Plans transfers that balance load per capacity."""
         return rebalancing.plan_transfers(ranges, self.find_key_loads(now),
                                           self.find_capacities(servers, now))
 
     def estimate_work_means(
             self, servers: Iterable[tables.Server]) -> dict[str, float]:
-        """Returns the mean time of work of servers, ms (see `workmeans`)."""
+        """Returns the estimated mean processing times of servers, ms."""
         return workmeans.estimate_means(self.work_means,
                                         [server.id for server in servers])
 
@@ -140,22 +149,22 @@
             servers: Iterable[tables.Server],
             now: float,
             limits: Mapping[str, float] | None = None) -> dict[str, float]:
-        """Returns the relative speed of servers, by id.
+        """Returns the capacity of servers relative to their mean, by id.
 
         Args:
           servers: The servers.
-          now: ms.
+          now: Current time, ms.
           limits: Rate limits by server id, requests per second.
         """
         servers = list(servers)
         estimates = self.estimate_work_means(servers)
-        usual = workmeans.average_means(self.work_means[server.id]
-                                        for server in servers
-                                        if server.id in self.work_means)
+        mean_work_ms = workmeans.average_means(self.work_means[server.id]
+                                               for server in servers
+                                               if server.id in self.work_means)
         capacities = {}
         for server in servers:
             work_ms = estimates.get(server.id)
-            capacity = usual / max(0.1, work_ms) if work_ms else 1.0
+            capacity = mean_work_ms / max(0.1, work_ms) if work_ms else 1.0
             if server.warm_at > now:
                 capacity = min(capacity, COLD_CAPACITY)
             capacities[server.id] = min(MAX_CAPACITY,
--- a/lentilmoor/edge/workmeans.py
+++ b/lentilmoor/edge/workmeans.py
@@ -1,39 +1,40 @@
-"""Mean times of work of servers, learned from the answers of all entries.
+"""Mean processing times of servers, from the responses to all entries.
 
-Times of work vary as much as their mean, so a hundred answers tell a server's
-mean to within a tenth. A server that turns slow, or well again, is told from
-chance by its last answers: the mean begins anew when they are far off it.
+The standard deviation of processing times is about as large as their mean, so
+100 responses determine a server's mean to within 10%. A server that becomes
+slow or recovers is distinguished from random variation by its recent responses:
+the mean restarts when their mean differs from it by a large factor.
 """
 
 from collections.abc import Iterable
 from collections.abc import Mapping
 import dataclasses
 
-# Weight of the newest answer once there are many.
+# Weight of the newest response in a mean of many.
 NEWEST_WEIGHT = 0.01
-# Weight of the newest answer in the mean of the last ones, about a dozen.
+# Weight of the newest response in the mean of the recent ones, about a dozen.
 RECENT_WEIGHT = 0.15
-# The mean begins anew when the mean of the last ones is so many times as large,
-# or as small a part of it: far enough apart that a few long requests in a row
-# aren't taken for a slow server.
+# The mean restarts when the mean of the recent responses is more than the first
+# or less than the second factor times the mean. The factors are far enough
+# apart that a few long requests in a row aren't mistaken for a slow server.
 SLOWER_FACTOR, FASTER_FACTOR = 3.0, 0.3
-# Answers that a mean counts for that has begun anew, or that needs to be known
-# before it can.
+# Number of responses that a restarted mean counts for, and after which a mean
+# may restart.
 MIN_ANSWERS = 8
-# Answers of the service's mean that a server is taken to have given besides its
-# own: one long answer as the first made entries refuse what a server had room
-# for.
+# Number of responses with the service's mean that are added to a server's own.
+# Without them, a single long first response made entries refuse requests for
+# which the server had capacity.
 PRIOR_ANSWERS = 2
 
 
 @dataclasses.dataclass(slots=True)
 class WorkMean:
-    """Mean time of work of a server.
+    """Mean processing time of a server.
 
     Attributes:
       ms: The mean.
-      count: Answers that it counts for.
-      recent: Mean of the last answers, ms.
+      count: Number of responses that the mean counts for.
+      recent_ms: Exponentially weighted mean of the recent responses.
     """
 
     ms: float = 0.0
@@ -42,7 +43,7 @@
 
 
 def record(mean: WorkMean, work_ms: float) -> None:
-    """Takes in an answer."""
+    """Adds the processing time of a response; restarts the mean if needed."""
     mean.count += 1
     mean.ms = update_mean(mean.ms, mean.count, NEWEST_WEIGHT, work_ms)
     mean.recent_ms = update_mean(mean.recent_ms, mean.count, RECENT_WEIGHT,
@@ -53,60 +54,66 @@
         mean.ms, mean.count = mean.recent_ms, MIN_ANSWERS
 
 
-def update_mean(mean_ms: float, count: int, newest: float,
+def update_mean(mean_ms: float, count: int, newest_weight: float,
                 work_ms: float) -> float:
-    """Returns a running mean with one more answer.
+    """Returns a running mean with one more response.
+
+    It is the arithmetic mean of the first responses, and exponentially weighted
+    after that.
 
     Args:
       mean_ms: The mean before.
-      count: Answers, this one included.
-      newest: Weight of the newest answer once there are many.
-      work_ms: The answer's time of work.
+      count: Number of responses, including this one.
+      newest_weight: Weight of the newest response in a mean of many.
+      work_ms: Processing time of the response.
     """
-    return mean_ms + max(newest, 1.0 / count) * (work_ms - mean_ms)
+    return mean_ms + max(newest_weight, 1.0 / count) * (work_ms - mean_ms)
+
 
+def blend_means(mean_ms: float, count: int, newest_weight: float,
+                service_ms: float) -> float:
+    """Returns a server's mean, shrunk towards the mean of its service.
 
-def blend_means(mean_ms: float, count: int, newest: float,
-                usual_ms: float) -> float:
-    """Returns a server's mean, drawn towards its service's by few answers.
+    The fewer responses the server's mean counts for, the closer the result is
+    to the mean of the service.
 
     Args:
       mean_ms: The server's own mean.
-      count: Answers that it was learned from.
-      newest: Weight of the newest answer in it once there are many.
-      usual_ms: Mean of the service.
+      count: Number of responses that it counts for.
+      newest_weight: Weight of the newest response in a mean of many.
+      service_ms: Mean of the service.
     """
-    weight = min(count, 1 / newest)
-    return (weight * mean_ms + PRIOR_ANSWERS * usual_ms) / (weight +
-                                                            PRIOR_ANSWERS)
+    weight = min(count, 1 / newest_weight)
+    return (weight * mean_ms + PRIOR_ANSWERS * service_ms) / (weight +
+                                                              PRIOR_ANSWERS)
 
 
-def average_means(known: Iterable[WorkMean]) -> float:
-    """Returns the mean over servers, by answers; 0 if none is known."""
-    known = list(known)
-    count = sum(item.count for item in known)
-    return sum(item.ms * item.count for item in known) / count if count else 0.0
+def average_means(means: Iterable[WorkMean]) -> float:
+    """Returns the mean over servers, weighted by responses; 0 if unknown."""
+    means = list(means)
+    count = sum(item.count for item in means)
+    return sum(item.ms * item.count for item in means) / count if count else 0.0
 
 
 def estimate_means(means: Mapping[str, WorkMean],
                    names: Iterable[str]) -> dict[str, float]:
-    """Returns the mean time of work of servers, ms; empty if none is known.
+    """Returns the mean processing times of servers, ms; empty if none is known.
 
-    A server with few answers is taken to be much like the others.
+    For a server with few responses, the mean of the service dominates.
 
     Args:
-      means: What is known, by server id.
+      means: Known means, by server id.
       names: Ids of the servers of one service.
     """
     names = list(names)
-    usual = average_means(means[name] for name in names if name in means)
-    if not usual:
+    service_ms = average_means(means[name] for name in names if name in means)
+    if not service_ms:
         return {}
     estimates = {}
     for name in names:
         mean = means.get(name, _UNKNOWN)
         estimates[name] = round(
-            blend_means(mean.ms, mean.count, NEWEST_WEIGHT, usual), 1)
+            blend_means(mean.ms, mean.count, NEWEST_WEIGHT, service_ms), 1)
     return estimates
 
 
