--- a/lentilmoor/edge/keyloads.py
+++ b/lentilmoor/edge/keyloads.py
@@ -1,27 +1,28 @@
-"""Load by key, as entries report it."""
+"""Load by key, from the requests that entries report."""
 
 import bisect
 from collections.abc import Mapping
 
 from lentilmoor.edge import tables
 
-# Part of the load that is taken as spread evenly over all keys, so that keys
-# without a sample count too.
+# Fraction of the load that is assumed to be distributed uniformly over all
+# keys, so that keys without a reported request have a load as well.
 UNIFORM_FRACTION = 0.15
 
 
 class KeyLoads:
-    """Load by key, with a part that is spread evenly.
+    """Load by key, with a fraction that is distributed uniformly.
 
     Attributes:
-      total: Sum over all keys; at least 1.
+      total: Sum of the loads of all keys; at least 1.
     """
 
     def __init__(self, loads: Mapping[int, float]):
-        """Makes a table.
+        """Initializes the table.
 
         Args:
-          loads: Requests of each key that was seen, per unit of time.
+          loads: Load by key, as requests per unit of time, of the keys with
+            reported requests.
         """
         seen = sum(loads.values())
         self.total = max(1.0, seen / (1 - UNIFORM_FRACTION))
@@ -30,32 +31,32 @@
         self._keys = [key for key, _ in self._loads]
 
     def sum_loads(self, first: int, last: int) -> float:
-        """Returns the load of the keys from first to last."""
+        """Returns the load of the keys from first to last, both included."""
         seen = sum(load for key, load in self.list_keys(first, last))
         return seen + self._even * (last - first + 1)
 
     def list_keys(self, first: int, last: int) -> list[tuple[int, float]]:
-        """Returns the keys that were seen between first and last."""
+        """Returns (key, load) of keys with requests from first to last."""
         begin = bisect.bisect_left(self._keys, first)
         end = bisect.bisect_right(self._keys, last)
         return self._loads[begin:end]
 
     def list_heavy(self, least: float) -> list[tuple[int, float]]:
-        """Returns keys with at least a load, the heaviest first."""
+        """Returns keys with at least a minimum load, the heaviest first."""
         heavy = [item for item in self._loads if item[1] >= least]
         return sorted(heavy, key=lambda item: item[1], reverse=True)
 
     def find_narrowest_range(self, first: int, last: int,
                              amount: float) -> tuple[int, int] | None:
-        """Returns the narrowest run of keys with about a load, if any.
+        """Returns the narrowest range of keys with at least a load, if any.
 
         Args:
-          first: First key that may be in the run.
-          last: Last key that may be in it.
-          amount: Load wanted.
+          first: First key that may be in the range.
+          last: Last key that may be in the range.
+          amount: Minimum load of the range.
         """
         keys = self.list_keys(first, last)
-        runs = []
+        ranges = []
         start, load = 0, 0.0
         for end, (key, added) in enumerate(keys):
             load += added
@@ -63,22 +64,31 @@
                 load -= keys[start][1]
                 start += 1
             if load >= amount:
-                runs.append((keys[start][0], key))
-        return min(runs, key=find_span, default=None)
+                ranges.append((keys[start][0], key))
+        return min(ranges, key=find_span, default=None)
 
     def split_by_load(self, first: int, last: int,
                       pieces: int) -> list[tuple[int, int]]:
-        """Cuts keys from first to last into pieces of about equal load."""
-        goal = self.sum_loads(first, last) / pieces
-        cuts, begin, load = [], first, 0.0
+        """Splits the keys from first to last into ranges of about equal load.
+
+        If too few keys have reported requests for that, the ranges have about
+        equal width instead.
+
+        Args:
+          first: First key.
+          last: Last key.
+          pieces: Number of ranges.
+        """
+        target = self.sum_loads(first, last) / pieces
+        ranges, begin, load = [], first, 0.0
         for key, added in self.list_keys(first, last):
             load += added
-            if load >= goal and key < last and len(cuts) < pieces - 1:
-                cuts.append((begin, key))
+            if load >= target and key < last and len(ranges) < pieces - 1:
+                ranges.append((begin, key))
                 begin, load = key + 1, 0.0
-        if len(cuts) < pieces // 2:
+        if len(ranges) < pieces // 2:
             return _split_by_width(first, last, pieces)
-        return [*cuts, (begin, last)]
+        return [*ranges, (begin, last)]
 
 
 def _split_by_width(first: int, last: int,
@@ -88,6 +98,6 @@
     return [(ends[part], ends[part + 1] - 1) for part in range(pieces)]
 
 
-def find_span(run: tuple[int, int]) -> int:
-    """Returns how many keys a run has more than one."""
-    return run[1] - run[0]
+def find_span(key_range: tuple[int, int]) -> int:
+    """Returns the number of keys of a range, minus one."""
+    return key_range[1] - key_range[0]
--- a/lentilmoor/edge/matching.py
+++ b/lentilmoor/edge/matching.py
@@ -1,8 +1,8 @@
-"""Which route a request takes, and which service of the route.
+"""Matches requests to routes, and picks the service of a route.
 
-Routes are found by host and longest prefix. Every prefix ends at a slash, so
-only the path's own prefixes that end at a slash are looked up: the time of a
-look-up grows with the depth of the path, not with the number of routes.
+Routes are matched by host and longest prefix. Every prefix ends with a slash,
+so only the prefixes of the path that end with a slash are looked up: the cost
+of a lookup grows with the depth of the path, not with the number of routes.
 """
 
 from collections.abc import Mapping
@@ -13,39 +13,43 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RouteIndex:
-    """Routes by host and prefix."""
+    """Index of routes.
+
+    Attributes:
+      routes: Routes by host and prefix.
+    """
 
     routes: Mapping[tuple[str, str], tables.Route]
 
 
 def make_index(routes: Mapping[str, tables.Route]) -> RouteIndex:
-    """Returns an index of routes."""
+    """Returns the index of routes that are given by name."""
     return RouteIndex({
         (route.host, route.prefix): route for route in routes.values()
     })
 
 
 def find_route(index: RouteIndex, host: str, path: str) -> tables.Route | None:
-    """Returns the route with the longest prefix of a path.
+    """Returns the route with the longest prefix that matches, or None.
 
     Args:
       index: All routes.
-      host: The request's Host header; a port and its case don't matter.
-      path: The request's path, without its query.
+      host: Host header of the request. Its port and its case are ignored.
+      path: Path of the request, without the query.
     """
-    name = host.lower()
-    if not name.endswith(']'):
-        name = name.rpartition(':')[0] or name
-    end = len(path)
-    while (end := path.rfind('/', 0, end)) >= 0:
-        route = index.routes.get((name, path[:end + 1]))
+    hostname = host.lower()
+    if not hostname.endswith(']'):
+        hostname = hostname.rpartition(':')[0] or hostname
+    prefix_end = len(path)
+    while (prefix_end := path.rfind('/', 0, prefix_end)) >= 0:
+        route = index.routes.get((hostname, path[:prefix_end + 1]))
         if route is not None:
             return route
     return None
 
 
 def pick_service(route: tables.Route, chance: float) -> str:
-    """Returns the service that a request of a route goes to.
+    """Picks a service of a route at random, according to the weights.
 
     Args:
       route: The route.
@@ -54,9 +58,9 @@
     parts = route.parts
     if len(parts) == 1:
         return parts[0].service
-    left = chance * sum(part.weight for part in parts)
+    remaining_weight = chance * sum(part.weight for part in parts)
     for part in parts:
-        left -= part.weight
-        if left < 0:
+        remaining_weight -= part.weight
+        if remaining_weight < 0:
             return part.service
     return parts[-1].service
--- a/lentilmoor/edge/requestmetrics.py
+++ b/lentilmoor/edge/requestmetrics.py
@@ -1,7 +1,7 @@
-"""Counters and times of requests, cheap on the request path.
+"""Counters and durations of requests, recorded at low cost per request.
 
-They are kept as plain numbers; the library that shows them is loaded when the
-metrics are first asked for, as it would take a tenth of the start.
+They are kept as plain numbers. The metrics library is imported when the metrics
+are first requested, since importing it takes a tenth of the startup time.
 """
 
 import collections
@@ -13,7 +13,7 @@
 
 
 class RequestMetrics:
-    """Counts by outcome and reason, and times by outcome."""
+    """Request counts by outcome and reason, and durations by outcome."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
@@ -26,24 +26,25 @@
         self._gauges: dict = {}
 
     def record(self, outcome: str, reason: str, ms: float) -> None:
-        """Counts a request.
+        """Records a completed request.
 
         Args:
           outcome: 'answered', 'not-run', 'unknown' or 'left'.
-          reason: Why it was not answered; the status if it was.
-          ms: From its arrival to its outcome.
+          reason: Why the request was not answered; the response status if it
+            was.
+          ms: Time from the arrival of the request to its outcome.
         """
         with self._lock:
             self._counts[outcome, reason] += 1
             self._times.append((outcome, ms))
 
     def render(self, gauges: dict[str, float]) -> bytes:
-        """Returns the metrics in the Prometheus text form.
+        """Returns the metrics in the Prometheus text format.
 
         Args:
-          gauges: Numbers that hold now, by name.
+          gauges: Current values of gauges, by name without prefix.
         """
-        # Loaded on first use; see above.
+        # Imported on first use, see the module's doc comment.
         # pylint: disable-next=import-outside-toplevel
         from lentilmoor import metrics
         if self._registry is None:
--- a/lentilmoor/edge/retrybudgets.py
+++ b/lentilmoor/edge/retrybudgets.py
@@ -1,8 +1,8 @@
-"""Repeats to a service, kept under a share of the requests for it.
+"""Retry budgets: limit the retries to a service to a ratio of its requests.
 
-All entries share the budget without a call per repeat: the share of requests
-adds up by itself, as each entry allows it of its own requests; the fixed part
-is divided by the number of entries.
+All entries share a budget without communicating per retry. Each entry applies
+the ratio to its own requests, so the ratio holds for all of them together; the
+fixed allowance is divided by the number of entries.
 """
 
 import collections
@@ -11,15 +11,21 @@
 
 from lentilmoor.edge import ports
 
-# Part of what is allowed that is used; the rest covers entries that count
-# differently at the edges of a window.
+# Fraction of the allowed retries that is used. The rest covers differences
+# between the counts of entries at the edges of a window.
 USED_FRACTION = 0.8
 _BUCKET_MS = 500.0
 
 
 @dataclasses.dataclass(slots=True)
 class TimeBucket:
-    """Counts of one step of the window."""
+    """Counts of requests and retries in one interval of the window.
+
+    Attributes:
+      number: Consecutive number of the interval.
+      requests: Requests of callers.
+      retries: Retries.
+    """
 
     number: int
     requests: int = 0
@@ -28,11 +34,11 @@
 
 @dataclasses.dataclass(slots=True)
 class RetryBudget:
-    """Requests and repeats to one service within the window.
+    """Requests and retries to one service within the window.
 
     Attributes:
-      steps: Counts of the window.
-      began_at: When the entry started, ms.
+      buckets: Counts of the window, the oldest first.
+      entry_started_at: When the entry started, ms.
     """
 
     buckets: collections.deque[TimeBucket] = dataclasses.field(
@@ -42,31 +48,33 @@
 
 def record_request(budget: RetryBudget, bounds: ports.Bounds,
                    now: float) -> None:
-    """Counts a caller's request for the service."""
+    """Records a caller's request for the service."""
     _find_bucket(budget, bounds, now).requests += 1
 
 
 def take_retry(budget: RetryBudget, bounds: ports.Bounds, entries: int,
                now: float) -> bool:
-    """Takes a repeat from the budget, if there is one left.
+    """Takes a retry from the budget; returns whether one was left.
 
     Args:
-      budget: The service's.
-      bounds: What the operator allows.
-      entries: Entries that share the fixed part.
-      now: ms.
+      budget: Budget of the service.
+      bounds: Limits set by the operator.
+      entries: Number of entries that share the fixed allowance.
+      now: Current time, ms.
     """
-    step = _find_bucket(budget, bounds, now)
+    bucket = _find_bucket(budget, bounds, now)
     requests = sum(item.requests for item in budget.buckets)
-    repeats = sum(item.retries for item in budget.buckets)
-    fixed = bounds.retry_slack / max(1, entries)
+    retries = sum(item.retries for item in budget.buckets)
+    fixed_allowance = bounds.retry_slack / max(1, entries)
     if now < budget.entry_started_at + bounds.retry_window_ms:
-        # An earlier process of this entry may have used it.
-        fixed = 0.0
-    allowed = USED_FRACTION * (bounds.retry_ratio * requests + fixed)
-    if repeats + 1 > allowed:
+        # An earlier process of this entry may have used the fixed allowance in
+        # the same window.
+        fixed_allowance = 0.0
+    max_retries = USED_FRACTION * (bounds.retry_ratio * requests +
+                                   fixed_allowance)
+    if retries + 1 > max_retries:
         return False
-    step.retries += 1
+    bucket.retries += 1
     return True
 
 
--- a/lentilmoor/edge/sockets.py
+++ b/lentilmoor/edge/sockets.py
@@ -1,34 +1,34 @@
-"""The socket on which callers' connections arrive.
+"""The listening socket for callers' connections.
 
-It is opened before the rest of the program is loaded, which takes some 0.3 s of
-a start: connections that come meanwhile wait in its queue and are served after.
-Without it the platform's balancer resets them.
+It is opened before the rest of the program is loaded, which takes about 0.3 s
+at startup. Connections that arrive in the meantime wait in the backlog and are
+served afterwards; without the socket, the platform's load balancer resets them.
 """
 
 import socket
 
-# Connections that wait to be taken: what comes to an entry within a second when
-# all others are down.
+# Maximum number of connections that wait to be accepted: those that an entry
+# receives within a second when all other entries are down.
 BACKLOG = 512
 
 
 def open_listener(address: str) -> socket.socket:
-    """Returns a socket that takes connections at an address.
+    """Returns a socket that listens at an address.
 
     Args:
-      address: host:port.
+      address: Address in the form host:port.
 
     Raises:
-      OSError: The address can't be used.
+      OSError: The socket can't be bound to the address.
     """
     host, _, port = address.rpartition(':')
-    listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
+    listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
-        listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        listening.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        listening.bind((host, int(port)))
-        listening.listen(BACKLOG)
+        listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        listener.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+        listener.bind((host, int(port)))
+        listener.listen(BACKLOG)
     except OSError:
-        listening.close()
+        listener.close()
         raise
-    return listening
+    return listener
