--- a/tests/test_edge_routing.py
+++ b/tests/test_edge_routing.py
@@ -1,4 +1,4 @@
-"""Tests of routes, placement, waiting and the repeat budget."""
+"""Tests of route matching, placement, admission and retry budgets."""
 
 import random
 import unittest
@@ -25,7 +25,6 @@
 
 
 class MatchingTest(unittest.TestCase):
-
     def setUp(self):
         rows = [
             _make_route('root', 'a.example', '/', ('x', 1.0)),
@@ -39,18 +38,18 @@
         found = matching.find_route(self.index, host, path)
         return found.name if found else None
 
-    def test_the_longest_prefix_wins(self):
+    def test_longest_prefix_wins(self):
         self.assertEqual(self._find('a.example', '/shop/deep/x'), 'deep')
         self.assertEqual(self._find('a.example', '/shop/x/y/z'), 'shop')
         self.assertEqual(self._find('a.example', '/shop/'), 'shop')
         self.assertEqual(self._find('a.example', '/shop'), 'root')
 
-    def test_the_host_decides_whatever_its_case_or_port(self):
+    def test_host_matches_regardless_of_case_and_port(self):
         self.assertEqual(self._find('B.Example:8080', '/shop/x'), 'other')
         self.assertIsNone(self._find('b.example', '/x'))
         self.assertIsNone(self._find('c.example', '/shop/x'))
 
-    def test_parts_get_their_weights(self):
+    def test_services_are_picked_by_weight(self):
         route = _make_route('split', 'a', '/', ('x', 90.0), ('y', 10.0),
                             ('z', 0.0))
         draw = random.Random(1)
@@ -63,14 +62,14 @@
 
 class PlacementTest(unittest.TestCase):
 
-    def _choose(self, servers, states, **wish):
-        fields = {'domain': 'd1', 'large': False, 'work_ms': 100.0} | wish
+    def _choose(self, servers, states, **criteria):
+        fields = {'domain': 'd1', 'large': False, 'work_ms': 100.0} | criteria
         found = placement.choose_server(servers, states,
                                         placement.ChoiceCriteria(**fields),
                                         1_000.0, lambda: 0.5)
         return found.server.id if found else None
 
-    def test_the_server_that_is_expected_first_gets_it(self):
+    def test_lowest_expected_response_time_wins(self):
         servers = [_make_server('a'), _make_server('b')]
         states = {
             'a':
@@ -84,7 +83,7 @@
         }
         self.assertEqual(self._choose(servers, states), 'b')
 
-    def test_large_answers_stay_in_the_domain_while_it_costs_little(self):
+    def test_large_responses_stay_in_domain_at_low_cost(self):
         servers = [_make_server('a', 'd2'), _make_server('b', 'd1')]
         states = {
             'a': placement.ServerState(work_ms=90.0, answer_count=30),
@@ -93,7 +92,7 @@
         self.assertEqual(self._choose(servers, states), 'a')
         self.assertEqual(self._choose(servers, states, large=True), 'b')
 
-    def test_a_server_that_was_not_reached_is_left_alone_for_a_while(self):
+    def test_backoff_grows_with_connect_failures(self):
         servers = [_make_server('a')]
         state = placement.ServerState(inflight=1)
         placement.record_connect_failure(state, 1_000.0)
@@ -104,7 +103,7 @@
         placement.record_connect_failure(state, 1_000.0)
         self.assertGreater(state.backoff_until, first)
 
-    def test_a_server_that_fails_requests_is_chosen_less(self):
+    def test_server_with_failures_is_chosen_less_often(self):
         servers = [_make_server('a'), _make_server('b')]
         states = {
             'a': placement.ServerState(work_ms=50.0, answer_count=30),
@@ -115,7 +114,7 @@
             placement.record_failure(states['a'], 0.0, False)
         self.assertEqual(self._choose(servers, states), 'b')
 
-    def test_the_hubs_view_counts_for_long_work_and_for_owners_only(self):
+    def test_hub_data_is_used_for_long_work_and_owners_only(self):
         state = placement.ServerState(work_ms=60.0,
                                       answer_count=30,
                                       reported_in_flight=6.0,
@@ -131,9 +130,10 @@
             placement.estimate_response(server, state, 240.0, 1_000.0)[0],
             240.0)
 
-    def test_one_long_answer_does_not_make_a_server_slow(self):
-        # Entries see few answers of each server. After 1.1 s as the first one
-        # they refused what a server had room for.
+    def test_one_long_response_does_not_make_a_server_slow(self):
+        # Each entry receives few responses from each server. After a first
+        # response of 1.1 s, entries refused requests for which the server had
+        # capacity.
         state = placement.ServerState()
         placement.record_sent(state)
         placement.record_answer(state, 1_100.0, None, 0.0)
@@ -148,7 +148,7 @@
                                                   220.0, 0.0)
         self.assertAlmostEqual(expected, 400.0, delta=20.0)
 
-    def test_what_all_entries_saw_of_a_server_counts_for_more(self):
+    def test_mean_of_all_entries_takes_precedence(self):
         state = placement.ServerState(work_ms=900.0,
                                       answer_count=2,
                                       shared_work_ms=200.0)
@@ -156,31 +156,32 @@
                                                   220.0, 0.0)
         self.assertEqual(expected, 200.0)
 
-    def test_what_timed_out_tells_how_slow_a_server_is_at_least(self):
+    def test_timeout_gives_lower_bound_of_work(self):
         choice = placement.Choice(_make_server('a'), 440.0, False, 220.0)
         self.assertEqual(placement.estimate_min_work(1_400.0, choice), 700.0)
         self.assertEqual(placement.estimate_min_work(400.0, choice), 0.0)
 
 
-class WaitingTest(unittest.TestCase):
+class AdmissionTest(unittest.TestCase):
 
-    def test_what_can_be_answered_in_time_may_wait(self):
+    def test_request_expected_in_time_is_admitted(self):
         self.assertIsNone(
             admission.find_retry_after(
                 admission.WaitEstimate(400.0, False, 450.0)))
 
-    def test_work_that_takes_longer_than_its_goal_is_no_reason_to_refuse(self):
-        # A limit by the goal turned all requests of such a service away.
+    def test_work_longer_than_latency_goal_is_admitted(self):
+        # A limit set by the latency goal rejected all requests of a service
+        # whose processing takes longer than the goal.
         goal_ms, work_ms = 250.0, 800.0
         self.assertGreater(work_ms, goal_ms)
         self.assertIsNone(
             admission.find_retry_after(
                 admission.WaitEstimate(work_ms, False, 2_000.0)))
 
-    def test_what_cannot_is_told_when_to_come_back(self):
-        back = admission.find_retry_after(
+    def test_refused_request_gets_a_retry_delay(self):
+        retry_after_ms = admission.find_retry_after(
             admission.WaitEstimate(900.0, False, 450.0))
-        self.assertEqual(back, 450.0)
+        self.assertEqual(retry_after_ms, 450.0)
         self.assertEqual(
             admission.find_retry_after(
                 admission.WaitEstimate(100.0, True, 1_000.0)),
@@ -194,34 +195,36 @@
                 1e6, False, 450.0)), admission.MAX_RETRY_AFTER_MS)
 
 
-class BudgetTest(unittest.TestCase):
+class RetryBudgetTest(unittest.TestCase):
 
-    def _check_windows(self, asked: list[int], taken: list[int]) -> None:
-        """Checks that no window has more repeats than it allows."""
+    def _check_windows(self, requested_at: list[int],
+                       retried_at: list[int]) -> None:
+        """Checks that no window has more retries than the budget allows."""
         for begin in range(0, 30_000, 500):
-            requests = sum(begin <= at < begin + 10_000 for at in asked)
-            repeats = sum(begin <= at < begin + 10_000 for at in taken)
-            self.assertLessEqual(repeats, 0.2 * requests + 60.0)
+            requests = sum(begin <= at < begin + 10_000 for at in requested_at)
+            retries = sum(begin <= at < begin + 10_000 for at in retried_at)
+            self.assertLessEqual(retries, 0.2 * requests + 60.0)
 
-    def test_all_entries_together_stay_within_what_is_allowed(self):
-        # 12 entries, one of which gets most of the requests; all repeat all.
+    def test_entries_together_stay_within_the_budget(self):
+        # One of 12 entries receives most of the requests. All entries try to
+        # retry every request.
         entries = [retrybudgets.RetryBudget() for _ in range(12)]
         draw = random.Random(3)
-        asked, taken = [], []
+        requested_at, retried_at = [], []
         for now in range(0, 40_000, 5):
             index = min(11, int(draw.expovariate(0.5)))
             retrybudgets.record_request(entries[index], _BOUNDS, now)
-            asked.append(now)
+            requested_at.append(now)
             for _ in range(2):
                 if retrybudgets.take_retry(entries[index], _BOUNDS, 12, now):
-                    taken.append(now)
-        self._check_windows(asked, taken)
-        self.assertGreater(len(taken), 0.1 * len(asked))
+                    retried_at.append(now)
+        self._check_windows(requested_at, retried_at)
+        self.assertGreater(len(retried_at), 0.1 * len(requested_at))
 
-    def test_entries_that_start_again_do_not_repeat_more(self):
-        # All of 12 entries are killed each 4 s; all repeat all.
+    def test_restarted_entries_stay_within_the_budget(self):
+        # All 12 entries are killed every 4 s and try to retry every request.
         entries: list[retrybudgets.RetryBudget] = []
-        asked, taken = [], []
+        requested_at, retried_at = [], []
         for now in range(0, 40_000, 50):
             if now % 4_000 == 0:
                 entries = [
@@ -230,18 +233,18 @@
                 ]
             budget = entries[now // 50 % 12]
             retrybudgets.record_request(budget, _BOUNDS, now)
-            asked.append(now)
+            requested_at.append(now)
             if retrybudgets.take_retry(budget, _BOUNDS, 12, now):
-                taken.append(now)
-        self._check_windows(asked, taken)
-        self.assertGreater(len(taken), 0.05 * len(asked))
+                retried_at.append(now)
+        self._check_windows(requested_at, retried_at)
+        self.assertGreater(len(retried_at), 0.05 * len(requested_at))
 
-    def test_a_service_without_requests_keeps_its_fixed_part(self):
+    def test_fixed_allowance_without_requests(self):
         budget = retrybudgets.RetryBudget()
-        taken = sum(
+        retry_count = sum(
             retrybudgets.take_retry(budget, _BOUNDS, 12, 0.0)
             for _ in range(100))
-        self.assertEqual(taken, 4)
+        self.assertEqual(retry_count, 4)
 
 
 if __name__ == '__main__':
