--- a/tests/test_edge_routing.py
+++ b/tests/test_edge_routing.py
@@ -25,6 +25,7 @@
 
 
 class MatchingTest(unittest.TestCase):
+
     def setUp(self):
         rows = [
             _make_route('root', 'a.example', '/', ('x', 1.0)),
--- a/tests/test_platform_availability.py
+++ b/tests/test_platform_availability.py
@@ -7,14 +7,15 @@
 from tests import platformhelp
 
 _KEYS = range(0, 65_536, 1_637)
-# Time after which a draining server must get no more requests.
+# Time after which a draining server must receive no more requests.
 _DRAIN_S = 2.0
-# Value of Retry-After in the responses of a paused server.
+# Value of Retry-After in the responses of a paused server, s.
 _PAUSE_S = 3.0
-# Time at the start of a pause in which requests aren't counted.
+# Time at the start of a pause in which requests aren't counted, since not every
+# entry has received a response with Retry-After yet.
 _SETTLE_S = 0.5
 # Maximum number of requests per entry in the rest of a pause.
-_MAX_REQUESTS = 2
+_MAX_REQUESTS_IN_PAUSE = 2
 
 
 class _AvailabilityTest(unittest.TestCase):
@@ -45,12 +46,16 @@
             yield key
 
 
-class LeavingServerTest(_AvailabilityTest):
-    """A server reports draining in its answers but not in the store."""
+class DrainingServerTest(_AvailabilityTest):
+    """A server reports draining in its responses but not in the store.
+
+    An entry that relies on the store alone would continue to send requests to
+    the server.
+    """
 
     def _check_drained(self, path: str, keys: list[int | None],
                        server: platform_server.PlatformServer) -> None:
-        """Checks that a draining server gets no late request and none fails."""
+        """Checks that a draining server gets no late requests and none fail."""
         server.leaving = True
         server.arrival_times.clear()
         self._send_load(path, keys, time.monotonic() + _SETTLE_S)
@@ -73,7 +78,11 @@
 
 
 class PausedServerTest(_AvailabilityTest):
-    """A server rejects requests with status 503 and Retry-After."""
+    """A server rejects requests with status 503 and Retry-After.
+
+    An entry that ignores Retry-After would continue to send requests to the
+    server, which rejects them all.
+    """
 
     def _check_pause(self, path: str, keys: list[int | None],
                      server: platform_server.PlatformServer) -> list[int]:
@@ -85,7 +94,7 @@
             at for at in server.arrival_times
             if paused_at + _SETTLE_S < at < paused_at + _PAUSE_S
         ]
-        max_arrivals = _MAX_REQUESTS * len(self.deployment.entries)
+        max_arrivals = _MAX_REQUESTS_IN_PAUSE * len(self.deployment.entries)
         self.assertLessEqual(len(arrivals_in_pause), max_arrivals)
         return statuses
 
@@ -95,7 +104,7 @@
         self.assertEqual(set(statuses), {200})
 
     def test_keys_move_to_other_servers(self):
-        # Requests must not be refused for as long as the server is paused.
+        # Requests for the keys must not be refused until the pause ends.
         server = self.deployment.catalogs[0]
         server.retry_after_s = _PAUSE_S
         keys = self._list_keys(server)
