--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -155,7 +155,7 @@
 
 def may_retry(forwarder: requests.Forwarder, run: requests.Run) -> bool:
     """Returns whether a lost request may be retried on another server."""
-    if run.is_trial:
+    if run.on_trial:
         return False
     suspect = forwarder.suspects.suspects.get(make_fingerprint(run.request))
     return suspect is None or len(suspect.crashes) < _NO_RETRY_CRASHES
