--- a/lentilmoor/edge/revisions.py
+++ b/lentilmoor/edge/revisions.py
@@ -17,7 +17,7 @@
     """Returns the revision of a change.
 
     Args:
-      era: The store's era, 0 to `MOST_ERA`.
+      era: The store's era, 0 to `MAX_ERA`.
       number: Number that the store assigned to the change in that era.
     """
     return era << _NUMBER_BITS | number
--- a/lentilmoor/edge/selection.py
+++ b/lentilmoor/edge/selection.py
@@ -88,7 +88,7 @@
                 server: tables.Server) -> outcomes.NotRun | None:
     """Takes a permit to send a request if the server has set a rate limit.
 
-    If no permit is available, adds the server to `run.avoid`.
+    If no permit is available, adds the server to `run.excluded_servers`.
 
     Returns:
       None if the request may be sent; otherwise the refusal.
--- a/tests/test_edge_coordination.py
+++ b/tests/test_edge_coordination.py
@@ -34,8 +34,8 @@
       world: The simulation.
       ms: How long to run it, ms.
     """
-    gaps = (dict.fromkeys(range(0, tables.KEY_COUNT, tables.KEY_COUNT // 200),
-                          0.0))
+    gaps = dict.fromkeys(range(0, tables.KEY_COUNT, tables.KEY_COUNT // 200),
+                         0.0)
     longest = 0.0
     for _ in range(round(ms / edgeworlds.STEP_MS)):
         world.run(edgeworlds.STEP_MS)
