--- a/lentilmoor/edge/attemptresults.py
+++ b/lentilmoor/edge/attemptresults.py
@@ -45,7 +45,7 @@
 
 def handle_answer(forwarder: requests.Forwarder, run: requests.Run,
                   server: tables.Server, state: placement.ServerState,
-                  reply: exchange.Reply,
+                  reply: exchange.ServerAnswer,
                   took_ms: float) -> requests.Outcome | None:
     """Takes in an answer; None if another try may follow."""
     now = forwarder.clock.now()
@@ -127,7 +127,7 @@
     is told a server's own failure, or that it isn't known.
     """
     if refusal.reason is _Reason.CANCELLED:
-        return exchange.Gone(refusal.detail)
+        return exchange.CallerDisconnected(refusal.detail)
     if run.last_failure is not None:
         return run.last_failure
     if run.may_have_run and not run.idempotent:
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -308,7 +308,7 @@
     if isinstance(outcome, tries.Answer):
         entry.measures.record('answered', str(outcome.status), age_ms)
         return
-    if isinstance(outcome, exchange.Gone):
+    if isinstance(outcome, exchange.CallerDisconnected):
         entry.measures.record('left', 'caller-left', age_ms)
         entry.logger.info('caller_left',
                           request=request.fields.request_id,
--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class OutgoingRequest:
     """What to send.
 
     Attributes:
@@ -55,12 +55,12 @@
     target: str
     make_headers: Callable[[], dict[str, str] | None]
     body: bytes
-    repeatable: bool
-    until: float
+    idempotent: bool
+    deadline_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reply:
+class ServerAnswer:
     """A server's answer.
 
     Attributes:
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Gone:
+class CallerDisconnected:
     """The caller left; nobody waits for an answer.
 
     Attributes:
@@ -100,7 +100,8 @@
     """It was not to be sent any more once there was a connection."""
 
 
-Result = Reply | Gone | NotSent | Withheld | outcomes.Unknown
+Result = (ServerAnswer | CallerDisconnected | NotSent | Withheld |
+          outcomes.Unknown)
 ReadAnswer = Callable[[int, Mapping[str, str]], ports.AnswerHeaders]
 
 
@@ -209,7 +210,7 @@
     connection.http.response_class = make_response
 
 
-def send(pool: connections.Pool, order: Order, watch: CallerWatch,
+def send(pool: connections.Pool, order: OutgoingRequest, watch: CallerWatch,
          read_answer: ReadAnswer, clock: clocks.Clock) -> Result:
     """Sends a request and reads its answer.
 
@@ -220,7 +221,7 @@
       read_answer: Reads the headers of an answer (see `ports.HeaderFormat`).
       clock: Time.
     """
-    taken = pool.take(order.repeatable, False, order.until - clock.now())
+    taken = pool.take(order.idempotent, False, order.deadline_at - clock.now())
     if isinstance(taken, outcomes.Failed):
         return NotSent(taken.reason, taken.detail)
     headers = order.make_headers()
@@ -251,7 +252,8 @@
 
 
 def _exchange(pool: connections.Pool, taken: connections.Connection,
-              order: Order, headers: dict[str, str], watch: CallerWatch,
+              order: OutgoingRequest, headers: dict[str,
+                                                    str], watch: CallerWatch,
               read_answer: ReadAnswer, clock: clocks.Clock) -> Result:
     _set_timeout(taken, order, clock)
     taken.http.request(order.method,
@@ -262,10 +264,11 @@
                        decode_content=False)
     event = Event.TALKS
     while event is Event.TALKS:
-        event = watch.await_either(taken.http.sock, order.until - clock.now())
+        event = watch.await_either(taken.http.sock,
+                                   order.deadline_at - clock.now())
     if event is Event.GONE:
         pool.drop(taken)
-        return Gone()
+        return CallerDisconnected()
     if event is Event.TIMEOUT:
         pool.drop(taken, silent=taken.reused)
         return outcomes.Unknown(_Reason.TIMED_OUT, 'no answer in time')
@@ -285,9 +288,9 @@
     return _read_body(pool, taken, order, response, fields)
 
 
-def _set_timeout(taken: connections.Connection, order: Order,
+def _set_timeout(taken: connections.Connection, order: OutgoingRequest,
                  clock: clocks.Clock) -> None:
-    left_s = max(1.0, order.until - clock.now()) / clocks.MS_PER_S
+    left_s = max(1.0, order.deadline_at - clock.now()) / clocks.MS_PER_S
     taken.http.timeout = left_s
     taken.http.sock.settimeout(left_s)
 
@@ -307,7 +310,7 @@
 
 
 def _read_body(pool: connections.Pool, taken: connections.Connection,
-               order: Order, response: urllib3.HTTPResponse,
+               order: OutgoingRequest, response: urllib3.HTTPResponse,
                fields: ports.AnswerHeaders) -> Result:
     headers = [(name, value)
                for name, value in response.headers.items()
@@ -328,7 +331,7 @@
     else:
         pool.drop(taken)
     answer = tries.make_whole(response.status, headers, body)
-    return Reply(answer, fields, taken.opened_at)
+    return ServerAnswer(answer, fields, taken.opened_at)
 
 
 def _is_clean(taken: connections.Connection) -> bool:
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -258,19 +258,19 @@
             headers, server.name or server.id, until - run.sent_at)
         return headers
 
-    order = exchange.Order(request.fields.request_id, request.method,
-                           request.target, make_headers, request.body,
-                           run.idempotent, until)
+    order = exchange.OutgoingRequest(request.fields.request_id, request.method,
+                                     request.target, make_headers, request.body,
+                                     run.idempotent, until)
     result = exchange.send(
         pool, order, request.watch,
         forwarder.platform.header_format.parse_answer_headers, forwarder.clock)
     now = forwarder.clock.now()
     run.server = ''
-    if isinstance(result, exchange.Gone):
+    if isinstance(result, exchange.CallerDisconnected):
         with forwarder.lock:
             placement.record_abandoned(state)
         suspects.note_lost_request(forwarder, run, server, pool, False)
-        return exchange.Gone(server.id, now - sent_at)
+        return exchange.CallerDisconnected(server.id, now - sent_at)
     if isinstance(result, exchange.Withheld):
         with forwarder.lock:
             placement.record_abandoned(state)
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -282,7 +282,7 @@
 
 def _write(request: cheroot_server.HTTPRequest, call: requests.Request,
            outcome: requests.Outcome) -> None:
-    if isinstance(outcome, exchange.Gone):
+    if isinstance(outcome, exchange.CallerDisconnected):
         request.close_connection = True
         request.sent_headers = True  # Nobody reads an answer.
     elif isinstance(outcome, tries.Answer):
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -168,7 +168,8 @@
     generator: random.Random = dataclasses.field(default_factory=random.Random)
 
 
-Outcome = tries.Answer | outcomes.NotRun | outcomes.Unknown | exchange.Gone
+Outcome = (tries.Answer | outcomes.NotRun | outcomes.Unknown |
+           exchange.CallerDisconnected)
 
 
 @dataclasses.dataclass(slots=True, eq=False)
