--- a/lentilmoor/edge/attemptresults.py
+++ b/lentilmoor/edge/attemptresults.py
@@ -51,7 +51,7 @@
     now = forwarder.clock.now()
     status, fields = reply.answer.status, reply.fields
     state.answered_at = now
-    suspects.note_answer(forwarder, run, server, reply.opened_at,
+    suspects.note_answer(forwarder, run, server, reply.connection_opened_at,
                          fields.has_proof and not fields.not_run)
     ratelimits.note_answer(forwarder.rate_limits, server.id, fields.rate_limit,
                            now, forwarder.logger)
--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -27,7 +27,7 @@
 from lentilmoor.edge import ports
 
 # Answers of earlier requests that are skipped before a connection is given up.
-MOST_STRAYS = 3
+MAX_SKIPPED_ANSWERS = 3
 
 _Reason = outcomes.Reason
 _BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError,
@@ -71,7 +71,7 @@
 
     answer: tries.Answer
     fields: ports.AnswerHeaders
-    opened_at: float = math.inf
+    connection_opened_at: float = math.inf
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -102,7 +102,7 @@
 
 Result = (ServerAnswer | CallerDisconnected | NotSent | Withheld |
           outcomes.Unknown)
-ReadAnswer = Callable[[int, Mapping[str, str]], ports.AnswerHeaders]
+ParseAnswerHeaders = Callable[[int, Mapping[str, str]], ports.AnswerHeaders]
 
 
 class Event(enum.Enum):
@@ -121,7 +121,7 @@
         self._connection = connection
         self._talks = False
 
-    def await_either(self, other: socket.socket, timeout_ms: float) -> Event:
+    def wait_for_event(self, other: socket.socket, timeout_ms: float) -> Event:
         """Waits until a server's connection can be read or the caller left.
 
         Args:
@@ -141,9 +141,9 @@
             return Event.ANSWER
         if not ready:
             return Event.TIMEOUT
-        return Event.GONE if self.is_gone() else Event.TALKS
+        return Event.GONE if self.is_disconnected() else Event.TALKS
 
-    def is_gone(self) -> bool:
+    def is_disconnected(self) -> bool:
         """Returns whether the caller has closed its connection."""
         poll = select.poll()
         try:
@@ -197,7 +197,7 @@
         self.closed = True
 
 
-def prepare(connection: connections.Connection) -> None:
+def share_read_buffer(connection: connections.Connection) -> None:
     """Makes a new connection read all its answers from one buffer."""
     sock = connection.http.sock
     reader = sock.makefile('rb')
@@ -211,7 +211,7 @@
 
 
 def send(pool: connections.Pool, order: OutgoingRequest, watch: CallerWatch,
-         read_answer: ReadAnswer, clock: clocks.Clock) -> Result:
+         read_answer: ParseAnswerHeaders, clock: clocks.Clock) -> Result:
     """Sends a request and reads its answer.
 
     Args:
@@ -229,7 +229,7 @@
         pool.drop(taken)
         return Withheld()
     if taken.uses == 1:
-        prepare(taken)
+        share_read_buffer(taken)
     try:
         return _exchange(pool, taken, order, headers, watch, read_answer, clock)
     except TimeoutError:
@@ -241,12 +241,13 @@
                                 f'{type(error).__name__}: {error}'[:200])
 
 
-def check(pool: connections.Pool, patience_ms: float) -> outcomes.Reason | None:
+def try_connect(pool: connections.Pool,
+                patience_ms: float) -> outcomes.Reason | None:
     """Opens a connection for later use; returns why it couldn't be opened."""
     taken = pool.take(True, True, patience_ms)
     if isinstance(taken, outcomes.Failed):
         return taken.reason
-    prepare(taken)
+    share_read_buffer(taken)
     pool.put_back(taken)
     return None
 
@@ -254,7 +255,7 @@
 def _exchange(pool: connections.Pool, taken: connections.Connection,
               order: OutgoingRequest, headers: dict[str,
                                                     str], watch: CallerWatch,
-              read_answer: ReadAnswer, clock: clocks.Clock) -> Result:
+              read_answer: ParseAnswerHeaders, clock: clocks.Clock) -> Result:
     _set_timeout(taken, order, clock)
     taken.http.request(order.method,
                        order.target,
@@ -264,8 +265,8 @@
                        decode_content=False)
     event = Event.TALKS
     while event is Event.TALKS:
-        event = watch.await_either(taken.http.sock,
-                                   order.deadline_at - clock.now())
+        event = watch.wait_for_event(taken.http.sock,
+                                     order.deadline_at - clock.now())
     if event is Event.GONE:
         pool.drop(taken)
         return CallerDisconnected()
@@ -275,7 +276,7 @@
     _set_timeout(taken, order, clock)
     response = taken.http.getresponse()
     fields = read_answer(response.status, response.headers)
-    for _ in range(MOST_STRAYS):
+    for _ in range(MAX_SKIPPED_ANSWERS):
         if not order.request_id or fields.request_id in ('', order.request_id):
             break
         response.read(decode_content=False)
--- a/lentilmoor/edge/selection.py
+++ b/lentilmoor/edge/selection.py
@@ -198,7 +198,7 @@
         if now >= wait_until:
             return outcomes.NotRun(_Reason.NO_OWNER, 'the key has no owner',
                                    OWNER_RETRY_MS)
-        if run.request.watch.is_gone():
+        if run.request.watch.is_disconnected():
             return outcomes.NotRun(
                 _Reason.CANCELLED, f'waited for an owner of key {key}, '
                 f'sent to {run.excluded_servers}')
--- a/lentilmoor/edge/suspects.py
+++ b/lentilmoor/edge/suspects.py
@@ -201,7 +201,7 @@
 def _check_server(forwarder: requests.Forwarder, server: tables.Server,
                   pool: connections.Pool) -> None:
     """Takes in that a server has crashed if it refuses connections."""
-    if exchange.check(pool, _CHECK_MS) is _Reason.CONNECT_FAILED:
+    if exchange.try_connect(pool, _CHECK_MS) is _Reason.CONNECT_FAILED:
         note_connection_refused(forwarder, server)
 
 
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -362,8 +362,8 @@
 
     def test_a_connection_that_was_opened_to_check_is_used_again(self):
         _, pool = self._start_server(True)
-        self.assertIsNone(exchange.check(pool, 100.0))
-        self.assertIsNone(exchange.check(pool, 100.0))
+        self.assertIsNone(exchange.try_connect(pool, 100.0))
+        self.assertIsNone(exchange.try_connect(pool, 100.0))
         self.assertEqual(pool.row.opened, 2)
         taken = pool.take(True, False, 100.0)
         self.assertEqual(pool.row.opened, 2)
