--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -114,7 +114,7 @@
     logs.quiet_libraries()
     entry = _make_entry(platform, instance, clock, logger, socket_options,
                         started_at)
-    entry.listeners[0].opened = callers
+    entry.listeners[0].listening_socket = callers
     note_running = functools.partial(departures.note_running,
                                      entry.forwarder.departure,
                                      platform.settings.bounds.grace_ms)
@@ -381,7 +381,7 @@
     limits = found.configuration.limits
     callers = entry.listeners[0]
     callers.timeout = (limits.idle_timeout_ms / clocks.MS_PER_S +
-                       listening.IDLE_SLACK_S)
+                       listening.IDLE_TIMEOUT_MARGIN_S)
     callers.max_request_header_size = limits.max_header_bytes
 
 
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -23,48 +23,49 @@
 
 # Kept on top of the time that callers may reuse an idle connection: the
 # library measures idle time by the time of day, which may jump by seconds.
-IDLE_SLACK_S = 5.0
+IDLE_TIMEOUT_MARGIN_S = 5.0
 
 _Reason = outcomes.Reason
 _CHUNK_BYTES = 64 * 1024
 # Started beyond what is lacking: where all are busy, more requests come.
-SPARE_THREADS = 4
+EXTRA_THREADS = 4
 
-Forward = Callable[[requests.Request], requests.Outcome]
-Note = Callable[[requests.Request, requests.Outcome], None]
-Page = Callable[[bytes], tuple[int, bytes, str]]
+ForwardRequest = Callable[[requests.Request], requests.Outcome]
+RecordOutcome = Callable[[requests.Request, requests.Outcome], None]
+PageHandler = Callable[[bytes], tuple[int, bytes, str]]
 """(body) -> status, body and content type of a page."""
-NoteWrite = Callable[[str, int, float], None]
+RecordWrite = Callable[[str, int, float], None]
 """(address of who asked, bytes, ms) takes in how long a page took to write."""
 
 
-class Pool(threadpool.ThreadPool):
+class WorkerPool(threadpool.ThreadPool):
     """Threads that answer requests; more are started when all are busy.
 
     Most entries need a few, and each takes memory and a part of a start.
     """
 
-    def __init__(self, server: cheroot_server.HTTPServer, least: int,
-                 most: int):
-        super().__init__(server, min=least, max=most)
-        self._growing = threading.Lock()
+    def __init__(self, server: cheroot_server.HTTPServer, min_threads: int,
+                 max_threads: int):
+        super().__init__(server, min=min_threads, max=max_threads)
+        self._grow_lock = threading.Lock()
 
     def put(self, obj) -> None:
         """Hands over a connection on which a request has come."""
         super().put(obj)
-        if self._count_lacking() > 0 and len(self._threads) < self.max:
+        if self._count_missing_threads() > 0 and len(self._threads) < self.max:
             # The library waits until a new thread runs; who accepts
             # connections must not.
-            threading.Thread(target=self._add_lacking, daemon=True).start()
+            threading.Thread(target=self._add_missing_threads,
+                             daemon=True).start()
 
-    def _count_lacking(self) -> int:
+    def _count_missing_threads(self) -> int:
         return self._queue.qsize() - self.idle
 
-    def _add_lacking(self) -> None:
-        with self._growing:
-            lacking = self._count_lacking()
+    def _add_missing_threads(self) -> None:
+        with self._grow_lock:
+            lacking = self._count_missing_threads()
             if lacking > 0:
-                self.grow(lacking + SPARE_THREADS)
+                self.grow(lacking + EXTRA_THREADS)
 
 
 class Listener(cheroot_server.HTTPServer):
@@ -74,14 +75,14 @@
       opened: That socket; None to open one.
     """
 
-    opened: socket.socket | None = None
+    listening_socket: socket.socket | None = None
 
     def bind(self, family, type, proto=0):  # pylint: disable=redefined-builtin
         """Takes the socket that was handed over, or opens one."""
-        if self.opened is None:
+        if self.listening_socket is None:
             return super().bind(family, type, proto)
         # pylint: disable-next=attribute-defined-outside-init
-        self.socket = self.opened
+        self.socket = self.listening_socket
         self.bind_addr = self.resolve_real_bind_addr(self.socket)
         return self.socket
 
@@ -100,7 +101,7 @@
     """
     host, _, port = address.rpartition(':')
     server = Listener((host, int(port)), gateway, server_name='lentilmoor')
-    server.requests = Pool(server, *threads)
+    server.requests = WorkerPool(server, *threads)
     server.request_queue_size = sockets.BACKLOG
     server.keep_alive_conn_limit = None
     server.error_log = log_error
@@ -119,18 +120,20 @@
     return log_error
 
 
-def make_caller_gateway(dialect: ports.HeaderFormat, forward: Forward,
-                        note: Note, count: shutdowns.RequestCount,
-                        limit: Callable[[], int],
+def make_caller_gateway(header_format: ports.HeaderFormat,
+                        forward: ForwardRequest, record_outcome: RecordOutcome,
+                        request_count: shutdowns.RequestCount,
+                        find_max_body_bytes: Callable[[], int],
                         clock: clocks.Clock) -> type[cheroot_server.Gateway]:
     """Returns the gateway class for callers.
 
     Args:
-      dialect: Reads callers' headers.
-      forward: Carries a request to its outcome.
-      note: Told of each outcome.
-      count: Counts requests; tells whether connections are to be closed.
-      limit: Returns how long a body may be.
+      header_format: Parses callers' headers.
+      forward: Forwards a request and returns its outcome.
+      record_outcome: Called with each request and its outcome.
+      request_count: Counts the requests in flight; says whether the process is
+        shutting down, so that connections must be closed.
+      find_max_body_bytes: Returns the size limit of a request's body.
       clock: Time.
     """
 
@@ -139,37 +142,38 @@
 
         def respond(self) -> None:
             """Reads the request, carries it and writes its outcome."""
-            count.enter()
+            request_count.enter()
             try:
-                request = _read_request(self.req, dialect, limit(), clock)
+                request = _read_request(self.req, header_format,
+                                        find_max_body_bytes(), clock)
                 if isinstance(request, outcomes.NotRun):
                     self.req.close_connection = True
                     _refuse(self.req, request)
                     return
                 outcome = forward(request)
-                note(request, outcome)
+                record_outcome(request, outcome)
                 # Set last: a shutdown may have begun meanwhile.
-                self.req.close_connection |= count.closing
+                self.req.close_connection |= request_count.closing
                 _write(self.req, request, outcome)
             finally:
-                count.leave()
+                request_count.leave()
 
     return CallerGateway
 
 
 def make_page_gateway(
-        pages: dict[str, Page],
+        pages: dict[str, PageHandler],
         clock: clocks.Clock,
-        note_write: NoteWrite | None = None,
-        write_ms: float | None = None) -> type[cheroot_server.Gateway]:
+        record_write: RecordWrite | None = None,
+        write_timeout_ms: float | None = None) -> type[cheroot_server.Gateway]:
     """Returns a gateway class for small pages by path.
 
     Args:
       pages: By path.
       clock: Time.
-      note_write: Told how long each page took to write, if given.
-      write_ms: A reader that takes nothing for so long is given up; the
-        library's time if None.
+      record_write: Called with the duration of each page's write, if given.
+      write_timeout_ms: Time after which a write to a client that reads nothing
+        is aborted; the library's timeout if None.
     """
 
     class PageGateway(cheroot_server.Gateway):
@@ -183,8 +187,9 @@
                 length = int(self.req.inheaders.get(b'Content-Length', 0))
                 status, body, kind = page(
                     self.req.rfile.read(length) if length else b'')
-            if write_ms is not None:
-                self.req.conn.socket.settimeout(write_ms / clocks.MS_PER_S)
+            if write_timeout_ms is not None:
+                self.req.conn.socket.settimeout(write_timeout_ms /
+                                                clocks.MS_PER_S)
             began = clock.now()
             try:
                 responses.write_problem(
@@ -194,9 +199,9 @@
                                       ('Content-Length', str(len(body)))),
                                      body))
             finally:
-                if note_write is not None:
-                    note_write(self.req.conn.remote_addr, len(body),
-                               clock.now() - began)
+                if record_write is not None:
+                    record_write(self.req.conn.remote_addr, len(body),
+                                 clock.now() - began)
             self.req.conn.socket.settimeout(self.req.server.timeout)
 
     return PageGateway
@@ -293,5 +298,6 @@
 
 def _refuse(request: cheroot_server.HTTPRequest,
             outcome: outcomes.NotRun | outcomes.Unknown) -> None:
-    responses.write_problem(request,
-                            problems.make(outcome, exact=True, retryable=True))
+    responses.write_problem(
+        request,
+        problems.make(outcome, fractional_seconds=True, invite_retries=True))
--- a/lentilmoor/problems.py
+++ b/lentilmoor/problems.py
@@ -17,7 +17,7 @@
 CONTENT_TYPE = 'application/problem+json'
 OUTCOME_HEADER = 'Lentilmoor-Outcome'
 REASON_HEADER = 'Lentilmoor-Reason'
-RETRY_HEADER = 'Retry-After'
+RETRY_AFTER_HEADER = 'Retry-After'
 TYPE_PREFIX = 'urn:lentilmoor:problem:'
 _MAX_PARSED_BYTES = 64 * 1024
 
@@ -77,7 +77,7 @@
      _Reason.BODY_TOO_LARGE, _Reason.NOT_AUTHORIZED))
 
 
-def pick_status(outcome: outcomes.NotRun | outcomes.Unknown) -> int:
+def find_status(outcome: outcomes.NotRun | outcomes.Unknown) -> int:
     """Returns the HTTP status code of an outcome.
 
     An unknown outcome never gets 503: clients and proxies resend after a 503
@@ -95,19 +95,20 @@
 
 def make(outcome: outcomes.NotRun | outcomes.Unknown,
          instance: str = '',
-         exact: bool = False,
-         retryable: bool = False) -> Problem:
+         fractional_seconds: bool = False,
+         invite_retries: bool = False) -> Problem:
     """Returns the response that tells a caller of an outcome.
 
     Args:
       outcome: What became of the request.
       instance: The entry that gave the outcome, if it is to be shown.
-      exact: Whether callers understand fractions of a second to wait.
-      retryable: Whether callers may send again whatever was not run, unless
-        the request itself is at fault.
+      fractional_seconds: Whether callers accept a Retry-After with fractions of
+        a second.
+      invite_retries: Whether a request that was not run gets status 503, upon
+        which callers resend it, unless the request itself is at fault.
     """
-    status = pick_status(outcome)
-    if (retryable and isinstance(outcome, outcomes.NotRun) and
+    status = find_status(outcome)
+    if (invite_retries and isinstance(outcome, outcomes.NotRun) and
             outcome.reason not in _FAULTY_REQUESTS):
         status = int(http.HTTPStatus.SERVICE_UNAVAILABLE)
     kind = _kind_of(outcome)
@@ -128,8 +129,9 @@
                (REASON_HEADER, outcome.reason.value)]
     if retry_after_ms:
         seconds = retry_after_ms / clocks.MS_PER_S
-        shown = f'{seconds:.3f}' if exact else str(math.ceil(seconds))
-        headers.append((RETRY_HEADER, shown))
+        shown = f'{seconds:.3f}' if fractional_seconds else str(
+            math.ceil(seconds))
+        headers.append((RETRY_AFTER_HEADER, shown))
     return make_document(status, members, headers)
 
 
--- a/tests/test_problems.py
+++ b/tests/test_problems.py
@@ -55,7 +55,7 @@
             outcomes.Reason.DEADLINE_PASSED: 504,
         }
         for reason, status in expected.items():
-            self.assertEqual(problems.pick_status(outcomes.NotRun(reason)),
+            self.assertEqual(problems.find_status(outcomes.NotRun(reason)),
                              status)
 
     def test_parse_takes_an_answer_for_what_it_is(self):
