--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -26,25 +26,25 @@
 
 # Servers that are looked at for one request, those included that can't be
 # connected to.
-MOST_PICKS = 6
+MAX_SELECTIONS = 6
 # Left for the way back of an answer to the caller, ms.
-WAY_BACK_MS = 8.0
+ANSWER_DELIVERY_MS = 8.0
 # A caller that doesn't say how long it waits.
-PATIENCE_MS = 10_000.0
+DEFAULT_CALLER_TIMEOUT_MS = 10_000.0
 # Time to come back while an entry starts, which takes some 0.5 s.
-START_RETRY_MS = 300
+STARTING_RETRY_AFTER_MS = 300
 # Part of its time that a request waits at most for the configuration, or for
 # newer knowledge: it leaves the caller time to come back elsewhere.
-START_WAIT_PART = 0.15
+FRESHNESS_WAIT_FRACTION = 0.15
 # Knowledge turns recent without a notice if others answer that they know
 # nothing newer.
-AWAIT_MS = 50.0
+FRESHNESS_CHECK_MS = 50.0
 # Time to come back after a request that this entry knows too little for: others
 # may know more.
-OUTDATED_RETRY_MS = 60
+STALE_RETRY_AFTER_MS = 60
 # Minimum interval between log lines about requests that are refused or sent by
 # an old copy of the store.
-OUTDATED_LOG_INTERVAL_MS = 100.0
+STALE_LOG_INTERVAL_MS = 100.0
 # Minimum interval between log lines about requests to draining or paused
 # servers.
 UNAVAILABLE_LOG_INTERVAL_MS = 100.0
@@ -67,7 +67,7 @@
     snapshot = _await_configuration(forwarder, request)
     if snapshot.configuration is None:
         return outcomes.NotRun(_Reason.STARTING, 'no configuration yet',
-                               START_RETRY_MS)
+                               STARTING_RETRY_AFTER_MS)
     route = _find_route(forwarder, request)
     if isinstance(route, outcomes.NotRun):
         return route
@@ -82,8 +82,8 @@
                                selection.SERVICE_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
-    patience_ms = request.fields.caller_timeout_ms or PATIENCE_MS
-    until = request.arrived_at + min(patience_ms - WAY_BACK_MS,
+    patience_ms = request.fields.caller_timeout_ms or DEFAULT_CALLER_TIMEOUT_MS
+    until = request.arrived_at + min(patience_ms - ANSWER_DELIVERY_MS,
                                      route.timeout_ms)
     run = requests.Run(request, route, service, until)
     if verdict is quarantine.Verdict.SUSPECT:
@@ -135,8 +135,8 @@
 
 
 def _find_wait_end(request: requests.Request) -> float:
-    patience_ms = request.fields.caller_timeout_ms or PATIENCE_MS
-    return request.arrived_at + START_WAIT_PART * patience_ms
+    patience_ms = request.fields.caller_timeout_ms or DEFAULT_CALLER_TIMEOUT_MS
+    return request.arrived_at + FRESHNESS_WAIT_FRACTION * patience_ms
 
 
 def _await(forwarder: requests.Forwarder, request: requests.Request,
@@ -147,7 +147,8 @@
         left_ms = until - forwarder.clock.now()
         if left_ms <= 0:
             return False
-        staleness.wait_for_change(forwarder.freshness, min(left_ms, AWAIT_MS))
+        staleness.wait_for_change(forwarder.freshness,
+                                  min(left_ms, FRESHNESS_CHECK_MS))
     return True
 
 
@@ -157,12 +158,12 @@
     _log_outdated(forwarder, request, 'refused_by_old_copy')
     return outcomes.NotRun(_Reason.OUTDATED,
                            'what is known of the store is too old',
-                           OUTDATED_RETRY_MS)
+                           STALE_RETRY_AFTER_MS)
 
 
 def _carry(forwarder: requests.Forwarder,
            run: requests.Run) -> requests.Outcome:
-    for _ in range(MOST_PICKS):
+    for _ in range(MAX_SELECTIONS):
         if not _await(forwarder, run.request, requests.is_server_data_recent):
             return attemptresults.find_outcome(
                 run, _refuse_outdated(forwarder, run.request))
@@ -298,7 +299,7 @@
                   event: str) -> None:
     """Logs what became of a request by an old copy, rate-limited."""
     now = forwarder.clock.now()
-    if now - forwarder.stale_logged_at < OUTDATED_LOG_INTERVAL_MS:
+    if now - forwarder.stale_logged_at < STALE_LOG_INTERVAL_MS:
         return
     forwarder.stale_logged_at = now
     applied = staleness.find_applied_times(forwarder.freshness)
