--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -1,10 +1,10 @@
-"""One request sent to one backend server, and what came of it.
+"""Sends one request to one backend server and reads its answer.
 
-While the server works, the caller's connection is watched too: a caller that
-leaves ends the exchange, and closing the server's connection has it stop. An
-answer that belongs to another request is skipped by its id. A connection is
-used again only after a whole answer to the last request and with nothing left
-to read.
+While the server processes the request, the caller's connection is polled too.
+If the caller disconnects, the exchange ends and the server's connection is
+closed, which makes the server stop. An answer with the request id of another
+request is skipped. A connection is reused only if the last answer was read
+completely and nothing follows it.
 """
 
 from collections.abc import Callable
@@ -26,28 +26,29 @@
 from lentilmoor import tries
 from lentilmoor.edge import ports
 
-# Answers of earlier requests that are skipped before a connection is given up.
+# Answers to earlier requests that are skipped before the connection is closed.
 MAX_SKIPPED_ANSWERS = 3
 
 _Reason = outcomes.Reason
-_BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError,
-           ValueError)
+_CONNECTION_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException,
+                      OSError, ValueError)
 _NO_BODY_STATUSES = frozenset((204, 304))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutgoingRequest:
-    """What to send.
+    """A request to a backend server.
 
     Attributes:
       request_id: The id that the answer must carry; '' if the request has none.
       method: HTTP method.
       target: Path and query.
-      make_headers: () -> headers as they are right before it is sent, those of
-        one connection left out; None if it isn't to be sent any more.
-      body: The whole body.
-      repeatable: Whether the request may be run more than once.
-      until: When to give up, ms.
+      make_headers: Called right before the request is sent. Returns its
+        headers without hop-by-hop headers; None if it must not be sent any
+        more.
+      body: The complete body.
+      idempotent: Whether the request may be run more than once.
+      deadline_at: When the exchange times out, ms.
     """
 
     request_id: str
@@ -64,9 +65,9 @@
     """A server's answer.
 
     Attributes:
-      answer: What to pass on to the caller.
-      fields: What its headers say.
-      opened_at: When its connection was opened, ms.
+      answer: The answer to forward to the caller.
+      fields: The values parsed from its headers.
+      connection_opened_at: When the connection it came over was opened, ms.
     """
 
     answer: tries.Answer
@@ -76,11 +77,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerDisconnected:
-    """The caller left; nobody waits for an answer.
+    """The caller closed its connection before it got an answer.
 
     Attributes:
-      where: Where the request was: a server's id, or what it waited for.
-      waited_ms: How long it waited at the server.
+      where: Where the request was then: the id of the server that it had been
+        sent to, or a description of what it waited for.
+      waited_ms: Time since it was sent to the server.
     """
 
     where: str = ''
@@ -89,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte left."""
+    """No byte of the request was sent, as there was no connection."""
 
     reason: outcomes.Reason
     detail: str
@@ -97,7 +99,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Withheld:
-    """It was not to be sent any more once there was a connection."""
+    """`make_headers` returned None once a connection was available."""
 
 
 Result = (ServerAnswer | CallerDisconnected | NotSent | Withheld |
@@ -106,7 +108,14 @@
 
 
 class Event(enum.Enum):
-    """What came first while a server worked."""
+    """What happened first while a server processed a request.
+
+    Attributes:
+      ANSWER: The server's connection became readable.
+      GONE: The caller disconnected.
+      TIMEOUT: Neither did anything in time.
+      TALKS: The caller sent more data, such as its next request.
+    """
 
     ANSWER = 'answer'
     GONE = 'gone'
@@ -115,29 +124,30 @@
 
 
 class CallerWatch:
-    """Tells whether a caller has closed its connection."""
+    """Detects that a caller closes its connection."""
 
     def __init__(self, connection: socket.socket):
         self._connection = connection
-        self._talks = False
+        self._has_sent_data = False
 
-    def wait_for_event(self, other: socket.socket, timeout_ms: float) -> Event:
-        """Waits until a server's connection can be read or the caller left.
+    def wait_for_event(self, server_socket: socket.socket,
+                       timeout_ms: float) -> Event:
+        """Waits until the server's socket is readable or the caller left.
 
         Args:
-          other: The server's connection.
+          server_socket: The socket of the connection to the server.
           timeout_ms: How long to wait.
 
         Returns:
-          What came first; `TALKS` if the caller sent something instead, as the
-          next request may come before this one's answer.
+          What happened first; `TALKS` if the caller sent data, as a pipelined
+          request may arrive before the answer to this one.
         """
         poll = select.poll()
-        poll.register(other, select.POLLIN)
-        if not self._talks:
+        poll.register(server_socket, select.POLLIN)
+        if not self._has_sent_data:
             poll.register(self._connection, select.POLLIN)
         ready = dict(poll.poll(max(0.0, timeout_ms)))
-        if other.fileno() in ready:
+        if server_socket.fileno() in ready:
             return Event.ANSWER
         if not ready:
             return Event.TIMEOUT
@@ -157,28 +167,29 @@
             return False
         except (OSError, ValueError):
             return True
-        # The next request may lie here already; then nothing tells any more.
-        self._talks = bool(data)
+        # If the caller's next request is in the buffer already, polling can't
+        # detect a disconnection any more.
+        self._has_sent_data = bool(data)
         return not data
 
 
-class _SharedReader:
-    """Lets all answers of a connection be read from one buffer.
+class _SharedBuffer:
+    """Stands in for a socket so that all answers share one read buffer.
 
-    The library's answers each have a buffer of their own, and the bytes that
-    follow an answer would be lost with it.
+    `http.client` creates a buffer for each answer and discards it with the
+    bytes of the next answer that it already holds.
     """
 
     def __init__(self, reader):
         self._reader = reader
 
     def makefile(self, *unused_args, **unused_kwargs):
-        """Returns the buffer in a form that outlives an answer."""
-        return _KeptReader(self._reader)
+        """Returns a reader whose close doesn't close the shared buffer."""
+        return _UnclosedReader(self._reader)
 
 
-class _KeptReader:
-    """A reader whose close leaves the buffer open."""
+class _UnclosedReader:
+    """A reader of one answer; closing it leaves the shared buffer open."""
 
     def __init__(self, reader):
         self._reader = reader
@@ -190,18 +201,18 @@
         self.closed = False
 
     def flush(self) -> None:
-        """Does nothing; there is nothing to flush."""
+        """Does nothing, as a reader has no pending writes."""
 
     def close(self) -> None:
-        """Ends this answer's use of the buffer."""
+        """Marks this reader as closed."""
         self.closed = True
 
 
 def share_read_buffer(connection: connections.Connection) -> None:
-    """Makes a new connection read all its answers from one buffer."""
+    """Makes all answers of a new connection share one read buffer."""
     sock = connection.http.sock
     reader = sock.makefile('rb')
-    shared = _SharedReader(reader)
+    shared = _SharedBuffer(reader)
     connection.http.lentilmoor_reader = reader
 
     def make_response(unused_sock, *args, **kwargs):
@@ -210,96 +221,112 @@
     connection.http.response_class = make_response
 
 
-def send(pool: connections.Pool, order: OutgoingRequest, watch: CallerWatch,
-         read_answer: ParseAnswerHeaders, clock: clocks.Clock) -> Result:
+def send(pool: connections.Pool, outgoing: OutgoingRequest, watch: CallerWatch,
+         parse_answer_headers: ParseAnswerHeaders,
+         clock: clocks.Clock) -> Result:
     """Sends a request and reads its answer.
 
     Args:
       pool: Connections to the server.
-      order: What to send.
-      watch: Watches the caller.
-      read_answer: Reads the headers of an answer (see `ports.HeaderFormat`).
-      clock: Time.
+      outgoing: The request to send.
+      watch: Detects that the caller disconnects.
+      parse_answer_headers: Parses the headers of an answer (see
+        `ports.HeaderFormat`).
+      clock: The clock of `outgoing.deadline_at`.
     """
-    taken = pool.take(order.idempotent, False, order.deadline_at - clock.now())
-    if isinstance(taken, outcomes.Failed):
-        return NotSent(taken.reason, taken.detail)
-    headers = order.make_headers()
+    connection = pool.take(outgoing.idempotent, False,
+                           outgoing.deadline_at - clock.now())
+    if isinstance(connection, outcomes.Failed):
+        return NotSent(connection.reason, connection.detail)
+    headers = outgoing.make_headers()
     if headers is None:
-        pool.drop(taken)
+        pool.drop(connection)
         return Withheld()
-    if taken.uses == 1:
-        share_read_buffer(taken)
+    if connection.uses == 1:
+        share_read_buffer(connection)
     try:
-        return _exchange(pool, taken, order, headers, watch, read_answer, clock)
+        return _exchange(pool, connection, outgoing, headers, watch,
+                         parse_answer_headers, clock)
     except TimeoutError:
-        pool.drop(taken)
-        return outcomes.Unknown(_Reason.TIMED_OUT, 'no whole answer in time')
-    except _BROKEN as error:
-        pool.drop(taken)
+        pool.drop(connection)
+        return outcomes.Unknown(_Reason.TIMED_OUT,
+                                'timed out before the answer was complete')
+    except _CONNECTION_ERRORS as error:
+        pool.drop(connection)
         return outcomes.Unknown(_Reason.CONNECTION_LOST,
                                 f'{type(error).__name__}: {error}'[:200])
 
 
 def try_connect(pool: connections.Pool,
-                patience_ms: float) -> outcomes.Reason | None:
-    """Opens a connection for later use; returns why it couldn't be opened."""
-    taken = pool.take(True, True, patience_ms)
-    if isinstance(taken, outcomes.Failed):
-        return taken.reason
-    share_read_buffer(taken)
-    pool.put_back(taken)
+                timeout_ms: float) -> outcomes.Reason | None:
+    """Opens a connection for later use.
+
+    Args:
+      pool: Connections to the server.
+      timeout_ms: How long opening may take.
+
+    Returns:
+      Why the connection couldn't be opened; None if it is open.
+    """
+    connection = pool.take(True, True, timeout_ms)
+    if isinstance(connection, outcomes.Failed):
+        return connection.reason
+    share_read_buffer(connection)
+    pool.put_back(connection)
     return None
 
 
-def _exchange(pool: connections.Pool, taken: connections.Connection,
-              order: OutgoingRequest, headers: dict[str,
-                                                    str], watch: CallerWatch,
-              read_answer: ParseAnswerHeaders, clock: clocks.Clock) -> Result:
-    _set_timeout(taken, order, clock)
-    taken.http.request(order.method,
-                       order.target,
-                       body=order.body or None,
-                       headers=headers,
-                       preload_content=False,
-                       decode_content=False)
+def _exchange(pool: connections.Pool, connection: connections.Connection,
+              outgoing: OutgoingRequest, headers: dict[str, str],
+              watch: CallerWatch, parse_answer_headers: ParseAnswerHeaders,
+              clock: clocks.Clock) -> Result:
+    _set_timeout(connection, outgoing, clock)
+    connection.http.request(outgoing.method,
+                            outgoing.target,
+                            body=outgoing.body or None,
+                            headers=headers,
+                            preload_content=False,
+                            decode_content=False)
     event = Event.TALKS
     while event is Event.TALKS:
-        event = watch.wait_for_event(taken.http.sock,
-                                     order.deadline_at - clock.now())
+        event = watch.wait_for_event(connection.http.sock,
+                                     outgoing.deadline_at - clock.now())
     if event is Event.GONE:
-        pool.drop(taken)
+        pool.drop(connection)
         return CallerDisconnected()
     if event is Event.TIMEOUT:
-        pool.drop(taken, silent=taken.reused)
-        return outcomes.Unknown(_Reason.TIMED_OUT, 'no answer in time')
-    _set_timeout(taken, order, clock)
-    response = taken.http.getresponse()
-    fields = read_answer(response.status, response.headers)
+        pool.drop(connection, silent=connection.reused)
+        return outcomes.Unknown(_Reason.TIMED_OUT,
+                                'timed out before the answer began')
+    _set_timeout(connection, outgoing, clock)
+    response = connection.http.getresponse()
+    fields = parse_answer_headers(response.status, response.headers)
     for _ in range(MAX_SKIPPED_ANSWERS):
-        if not order.request_id or fields.request_id in ('', order.request_id):
+        if not outgoing.request_id or fields.request_id in (
+                '', outgoing.request_id):
             break
         response.read(decode_content=False)
-        response = _read_next(taken, order.method)
-        fields = read_answer(response.status, response.headers)
+        response = _read_next_response(connection, outgoing.method)
+        fields = parse_answer_headers(response.status, response.headers)
         fields = dataclasses.replace(fields, closes_connection=True)
     else:
-        pool.drop(taken)
-        return outcomes.Unknown(_Reason.ANSWER_CUT, 'only answers to others')
-    return _read_body(pool, taken, order, response, fields)
+        pool.drop(connection)
+        return outcomes.Unknown(_Reason.ANSWER_CUT,
+                                'only answers to other requests were received')
+    return _read_body(pool, connection, outgoing, response, fields)
 
 
-def _set_timeout(taken: connections.Connection, order: OutgoingRequest,
+def _set_timeout(connection: connections.Connection, outgoing: OutgoingRequest,
                  clock: clocks.Clock) -> None:
-    left_s = max(1.0, order.deadline_at - clock.now()) / clocks.MS_PER_S
-    taken.http.timeout = left_s
-    taken.http.sock.settimeout(left_s)
+    remaining_s = max(1.0, outgoing.deadline_at - clock.now()) / clocks.MS_PER_S
+    connection.http.timeout = remaining_s
+    connection.http.sock.settimeout(remaining_s)
 
 
-def _read_next(taken: connections.Connection,
-               method: str) -> urllib3.HTTPResponse:
-    """Reads the answer that follows one that was not ours."""
-    raw = taken.http.response_class(taken.http.sock, method=method)
+def _read_next_response(connection: connections.Connection,
+                        method: str) -> urllib3.HTTPResponse:
+    """Reads the answer after one that belonged to another request."""
+    raw = connection.http.response_class(connection.http.sock, method=method)
     raw.begin()
     return urllib3.HTTPResponse(body=raw,
                                 headers=urllib3.HTTPHeaderDict(raw.msg.items()),
@@ -310,38 +337,40 @@
                                 original_response=raw)
 
 
-def _read_body(pool: connections.Pool, taken: connections.Connection,
-               order: OutgoingRequest, response: urllib3.HTTPResponse,
+def _read_body(pool: connections.Pool, connection: connections.Connection,
+               outgoing: OutgoingRequest, response: urllib3.HTTPResponse,
                fields: ports.AnswerHeaders) -> Result:
     headers = [(name, value)
                for name, value in response.headers.items()
                if name.lower() not in header_names.HOP_BY_HOP]
-    without = order.method == 'HEAD' or response.status in _NO_BODY_STATUSES
-    body = b'' if without else response.read(decode_content=False)
-    framed = (without or 'Content-Length' in response.headers or
-              'Transfer-Encoding' in response.headers)
-    if not without:
+    has_no_body = (outgoing.method == 'HEAD' or
+                   response.status in _NO_BODY_STATUSES)
+    body = b'' if has_no_body else response.read(decode_content=False)
+    has_defined_length = (has_no_body or 'Content-Length' in response.headers or
+                          'Transfer-Encoding' in response.headers)
+    if not has_no_body:
         headers = [
             item for item in headers if item[0].lower() != 'content-length'
         ]
         headers.append(('Content-Length', str(len(body))))
-    if framed and not fields.closes_connection and _is_clean(taken):
+    if (has_defined_length and not fields.closes_connection and
+            _is_fully_read(connection)):
         if fields.keep_alive_ms is not None:
-            taken.keep_alive_ms = fields.keep_alive_ms
-        pool.put_back(taken)
+            connection.keep_alive_ms = fields.keep_alive_ms
+        pool.put_back(connection)
     else:
-        pool.drop(taken)
+        pool.drop(connection)
     answer = tries.make_whole(response.status, headers, body)
-    return ServerAnswer(answer, fields, taken.opened_at)
+    return ServerAnswer(answer, fields, connection.opened_at)
 
 
-def _is_clean(taken: connections.Connection) -> bool:
-    """Returns whether nothing follows the answer that was read."""
-    sock = taken.http.sock
+def _is_fully_read(connection: connections.Connection) -> bool:
+    """Returns whether no data follows the answer that was read."""
+    sock = connection.http.sock
     if sock is None:
         return False
     sock.settimeout(0.0)
     try:
-        return not taken.http.lentilmoor_reader.peek(1)
+        return not connection.http.lentilmoor_reader.peek(1)
     except (OSError, ValueError):
         return False
