--- a/lentilmoor/exceptions.py
+++ b/lentilmoor/exceptions.py
@@ -1,22 +1,23 @@
-"""Exceptions of this package: broken invariants, and bad input at the border.
+"""Exceptions of this package: broken invariants and invalid input.
 
-Operational failures are values (see `outcomes`).
+Failures that occur in operation are returned as values (see `outcomes`).
 """
 
 
 class LentilmoorError(Exception):
-    """Base of every exception raised by this package."""
+    """Base class of all exceptions of this package."""
 
 
 class InvariantError(LentilmoorError):
-    """An invariant is broken; the process must stop."""
+    """An invariant is violated, so the process must stop."""
 
 
 class SettingsError(LentilmoorError):
     """Settings failed validation.
 
     Attributes:
-      problems: One line per problem: the field or line, and what was expected.
+      problems: One text per problem: the field or line, and what was expected
+        there.
     """
 
     def __init__(self, problems: list[str]):
--- a/lentilmoor/headers.py
+++ b/lentilmoor/headers.py
@@ -1,6 +1,6 @@
-"""Names of the HTTP headers that callers, entries and servers exchange."""
+"""Names of HTTP headers of requests and responses."""
 
-# From a caller to an entry.
+# Sent by a caller to an entry.
 KEY = 'Lentilmoor-Key'
 CLASS = 'Lentilmoor-Class'
 CALLER = 'Lentilmoor-Caller'
@@ -8,17 +8,18 @@
 IDEMPOTENCY_KEY = 'Idempotency-Key'
 TRACEPARENT = 'traceparent'
 
-# From an entry to a caller.
+# Sent by an entry to a caller.
 REQUEST_ID = 'Lentilmoor-Request-Id'
 
-# From an entry to the entry that is home or delegate for a server.
+# Sent by an entry to the entry that forwards requests to a server: the server's
+# home, or a delegate.
 RELAY_SECRET = 'Lentilmoor-Relay-Secret'
 RELAY_SERVER = 'Lentilmoor-Relay-Server'
 RELAY_SUSPECT = 'Lentilmoor-Relay-Suspect'
 RELAY_REQUEST_ID = 'Lentilmoor-Relay-Request-Id'
 
-# Headers that describe one connection and are never passed on (RFC 9110,
-# section 7.6.1).
+# Hop-by-hop headers, which apply to one connection and must not be forwarded
+# (RFC 9110, section 7.6.1).
 HOP_BY_HOP = frozenset((
     'connection',
     'keep-alive',
--- a/lentilmoor/outcomes.py
+++ b/lentilmoor/outcomes.py
@@ -1,7 +1,8 @@
-"""Outcomes as values: what became of a request or of a call, and why.
+"""Outcomes of requests and calls that did not end with an answer.
 
-Only broken invariants are raised (see `exceptions`); everything that can go
-wrong in operation is one of the values below.
+They are returned as values: every failure that can occur in operation is one of
+the classes below. Only broken invariants and bad input are raised (see
+`exceptions`).
 """
 
 import dataclasses
@@ -11,7 +12,7 @@
 class Reason(enum.Enum):
     """Why a request or a call did not end with an answer."""
 
-    # The request itself.
+    # The request itself, or an entry that can't route it yet.
     BAD_REQUEST = 'bad-request'
     UNKNOWN_SERVICE = 'unknown-service'
     MISSING_KEY = 'missing-key'
@@ -32,7 +33,7 @@
     SERVER_SHED = 'server-shed'
     CANCELLED = 'cancelled'
     QUARANTINED = 'quarantined'
-    # At most once.
+    # Idempotency keys and claims, which let a request run at most once.
     CLAIM_UNAVAILABLE = 'claim-unavailable'
     ALREADY_CLAIMED = 'already-claimed'
     KEY_REUSED = 'idempotency-key-reused'
@@ -42,7 +43,7 @@
     CONNECTION_LOST = 'connection-lost'
     ANSWER_CUT = 'answer-cut'
     TIMED_OUT = 'timed-out'
-    # The platform's store and the peers.
+    # The platform's store and the other entries.
     STORE_UNAVAILABLE = 'store-unavailable'
     CONFLICT = 'conflict'
     NOT_FOUND = 'not-found'
@@ -55,9 +56,9 @@
     """The request was certainly not run by any backend server.
 
     Attributes:
-      reason: Why not.
-      detail: One sentence for a person.
-      retry_after_ms: When to come back, or 0 if coming back will not help.
+      reason: Why it was not run.
+      detail: A sentence for people, in logs and in responses.
+      retry_after_ms: Time after which to send it again; 0 if that won't help.
     """
 
     reason: Reason
@@ -70,9 +71,10 @@
     """The request may or may not have been run.
 
     Attributes:
-      reason: Why it cannot be told.
-      detail: One sentence for a person.
-      retry_after_ms: When asking again may tell more, or 0.
+      reason: Why the outcome is unknown.
+      detail: A sentence for people, in logs and in responses.
+      retry_after_ms: Time after which a repeated request may return the
+        outcome; 0 if there is none.
     """
 
     reason: Reason
@@ -82,11 +84,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Failed:
-    """A call to the store, a peer or a backend server's control failed.
+    """A call to the store, to a peer or to control a backend server failed.
 
     Attributes:
-      reason: Why.
-      detail: One sentence for a person.
+      reason: Why it failed.
+      detail: A sentence for people, in logs and in responses.
     """
 
     reason: Reason
--- a/lentilmoor/problems.py
+++ b/lentilmoor/problems.py
@@ -1,8 +1,8 @@
-"""Problem details (RFC 9457): how a refusal or a failure is told over HTTP.
+"""Problem details (RFC 9457): HTTP responses for refusals and failures.
 
-Each response says in a header and, if it is not an answer of a backend
-server, in its body whether the request was not run or its outcome is unknown,
-and why. `parse` is the inverse of `make`, for the hop between two entries.
+The headers of each response, and the body of one that is not a backend server's
+answer, say whether the request was not run or its outcome is unknown, and why.
+`parse` is the inverse of `make`, for responses of another entry.
 """
 
 import dataclasses
@@ -25,7 +25,7 @@
 
 
 class Outcome(enum.Enum):
-    """What `OUTCOME_HEADER` says."""
+    """Values of `OUTCOME_HEADER`."""
 
     ANSWERED = 'answered'
     NOT_RUN = 'not-run'
@@ -38,8 +38,8 @@
 
     Attributes:
       status: HTTP status code.
-      headers: Header fields, Content-Type and Content-Length included.
-      body: JSON, UTF-8.
+      headers: Header fields, including Content-Type and Content-Length.
+      body: JSON in UTF-8.
     """
 
     status: int
@@ -48,7 +48,7 @@
 
     @property
     def status_line(self) -> str:
-        """The status as WSGI wants it, such as '503 Service Unavailable'."""
+        """The status in WSGI's form, such as '503 Service Unavailable'."""
         return f'{self.status} {http.HTTPStatus(self.status).phrase}'
 
 
@@ -71,7 +71,7 @@
     _Reason.NOT_FOUND: http.HTTPStatus.NOT_FOUND,
     _Reason.INVALID: http.HTTPStatus.UNPROCESSABLE_ENTITY,
 }
-# Sending such a request again will not help.
+# The request itself is at fault: sending it again won't help.
 _FAULTY_REQUESTS = frozenset(
     (_Reason.BAD_REQUEST, _Reason.UNKNOWN_SERVICE, _Reason.MISSING_KEY,
      _Reason.BODY_TOO_LARGE, _Reason.NOT_AUTHORIZED))
@@ -80,15 +80,15 @@
 def find_status(outcome: outcomes.NotRun | outcomes.Unknown) -> int:
     """Returns the HTTP status code of an outcome.
 
-    An unknown outcome never gets 503: clients and proxies resend after a 503
-    by themselves, and the request may have run.
+    An unknown outcome never gets 503, as the request may have run: clients and
+    proxies resend requests automatically after a 503.
 
     Args:
-      outcome: What became of the request.
+      outcome: The outcome of the request.
     """
     status = _STATUSES.get(outcome.reason, http.HTTPStatus.SERVICE_UNAVAILABLE)
-    unknown = isinstance(outcome, outcomes.Unknown)
-    if unknown and status == http.HTTPStatus.SERVICE_UNAVAILABLE:
+    may_have_run = isinstance(outcome, outcomes.Unknown)
+    if may_have_run and status == http.HTTPStatus.SERVICE_UNAVAILABLE:
         status = http.HTTPStatus.BAD_GATEWAY
     return int(status)
 
@@ -97,11 +97,11 @@
          instance: str = '',
          fractional_seconds: bool = False,
          invite_retries: bool = False) -> Problem:
-    """Returns the response that tells a caller of an outcome.
+    """Returns the response that reports an outcome to a caller.
 
     Args:
-      outcome: What became of the request.
-      instance: The entry that gave the outcome, if it is to be shown.
+      outcome: The outcome of the request.
+      instance: The id of the entry that responds; '' leaves it out of the body.
       fractional_seconds: Whether callers accept a Retry-After with fractions of
         a second.
       invite_retries: Whether a request that was not run gets status 503, upon
@@ -111,49 +111,49 @@
     if (invite_retries and isinstance(outcome, outcomes.NotRun) and
             outcome.reason not in _FAULTY_REQUESTS):
         status = int(http.HTTPStatus.SERVICE_UNAVAILABLE)
-    kind = _kind_of(outcome)
+    outcome_kind = _classify(outcome)
     retry_after_ms = getattr(outcome, 'retry_after_ms', 0)
     members = {
         'type': TYPE_PREFIX + outcome.reason.value,
         'title': http.HTTPStatus(status).phrase,
         'status': status,
         'detail': outcome.detail or outcome.reason.value,
-        'outcome': kind.value,
+        'outcome': outcome_kind.value,
         'reason': outcome.reason.value,
     }
     if retry_after_ms:
         members['retry_after_ms'] = retry_after_ms
     if instance:
         members['instance'] = f'urn:lentilmoor:entry:{instance}'
-    headers = [(OUTCOME_HEADER, kind.value),
+    headers = [(OUTCOME_HEADER, outcome_kind.value),
                (REASON_HEADER, outcome.reason.value)]
     if retry_after_ms:
         seconds = retry_after_ms / clocks.MS_PER_S
-        shown = f'{seconds:.3f}' if fractional_seconds else str(
+        retry_after = f'{seconds:.3f}' if fractional_seconds else str(
             math.ceil(seconds))
-        headers.append((RETRY_AFTER_HEADER, shown))
+        headers.append((RETRY_AFTER_HEADER, retry_after))
     return make_document(status, members, headers)
 
 
 def make_document(status: int,
                   members: dict[str, object],
                   headers: list[tuple[str, str]] | None = None) -> Problem:
-    """Returns a problem details response with members of the caller's own.
+    """Returns a problem details response with the given members.
 
     Args:
       status: HTTP status code.
       members: The members of the JSON object.
-      headers: Header fields besides the content's type and length.
+      headers: Header fields besides Content-Type and Content-Length.
     """
     body = json.dumps(members, ensure_ascii=False).encode()
-    content = [('Content-Type', CONTENT_TYPE),
-               ('Content-Length', str(len(body)))]
-    return Problem(status, tuple(content + (headers or [])), body)
+    content_headers = [('Content-Type', CONTENT_TYPE),
+                       ('Content-Length', str(len(body)))]
+    return Problem(status, tuple(content_headers + (headers or [])), body)
 
 
 def parse(outcome: str | None, reason: str | None,
           body: bytes) -> outcomes.NotRun | outcomes.Unknown | None:
-    """Reads an outcome back from a response of another entry.
+    """Parses the outcome in a response of another entry.
 
     Args:
       outcome: Value of `OUTCOME_HEADER`, or None if it is absent.
@@ -161,27 +161,27 @@
       body: The response's body.
 
     Returns:
-      The outcome; None if the response is an answer. A reason that this
-      release does not know is reported as `PEER_UNAVAILABLE`.
+      The outcome; None if the response is a backend server's answer. A reason
+      that this release doesn't know becomes `PEER_UNAVAILABLE`.
     """
     if outcome not in (Outcome.NOT_RUN.value, Outcome.UNKNOWN.value):
         return None
     members = _read_members(body)
     detail = str(members.get('detail', ''))
     try:
-        known = _Reason(reason)
+        known_reason = _Reason(reason)
     except ValueError:
-        known = _Reason.PEER_UNAVAILABLE
+        known_reason = _Reason.PEER_UNAVAILABLE
         detail = f'{reason}: {detail}'
     if outcome == Outcome.UNKNOWN.value:
-        return outcomes.Unknown(known, detail)
+        return outcomes.Unknown(known_reason, detail)
     retry_after_ms = members.get('retry_after_ms', 0)
     if not isinstance(retry_after_ms, int):
         retry_after_ms = 0
-    return outcomes.NotRun(known, detail, retry_after_ms)
+    return outcomes.NotRun(known_reason, detail, retry_after_ms)
 
 
-def _kind_of(outcome: outcomes.NotRun | outcomes.Unknown) -> Outcome:
+def _classify(outcome: outcomes.NotRun | outcomes.Unknown) -> Outcome:
     if isinstance(outcome, outcomes.NotRun):
         return Outcome.NOT_RUN
     return Outcome.UNKNOWN
--- a/tests/test_problems.py
+++ b/tests/test_problems.py
@@ -1,4 +1,4 @@
-"""Problem details: status, headers and body of each outcome, and back."""
+"""Tests of problem details: status, headers, body and parsing."""
 
 import json
 import unittest
@@ -24,15 +24,15 @@
     def test_parse_is_the_inverse_of_make(self, outcome):
         problem = problems.make(outcome, 'entry-1')
         headers = dict(problem.headers)
-        back = problems.parse(headers['Lentilmoor-Outcome'],
-                              headers['Lentilmoor-Reason'], problem.body)
-        self.assertEqual(back, outcome)
+        parsed = problems.parse(headers['Lentilmoor-Outcome'],
+                                headers['Lentilmoor-Reason'], problem.body)
+        self.assertEqual(parsed, outcome)
         self.assertEqual(json.loads(problem.body)['status'], problem.status)
         self.assertEqual(headers['Content-Length'], str(len(problem.body)))
 
     @_SETTINGS
     @hypothesis.given(_REASONS)
-    def test_unknown_outcome_never_invites_a_resend(self, reason):
+    def test_unknown_outcome_never_invites_a_retry(self, reason):
         problem = problems.make(outcomes.Unknown(reason))
         self.assertNotEqual(problem.status, 503)
         self.assertNotIn('Retry-After', dict(problem.headers))
@@ -58,14 +58,14 @@
             self.assertEqual(problems.find_status(outcomes.NotRun(reason)),
                              status)
 
-    def test_parse_takes_an_answer_for_what_it_is(self):
+    def test_parse_returns_none_for_an_answer(self):
         self.assertIsNone(problems.parse(None, None, b'whatever'))
         self.assertIsNone(problems.parse('answered', None, b''))
 
-    def test_parse_of_a_newer_release_or_a_broken_body(self):
-        back = problems.parse('not-run', 'made-up-later', b'{"detail": "x"}')
+    def test_parse_handles_unknown_reasons_and_invalid_bodies(self):
+        parsed = problems.parse('not-run', 'made-up-later', b'{"detail": "x"}')
         self.assertEqual(
-            back,
+            parsed,
             outcomes.NotRun(outcomes.Reason.PEER_UNAVAILABLE,
                             'made-up-later: x'))
         self.assertEqual(problems.parse('unknown', 'timed-out', b'[cut'),
