--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -1,8 +1,8 @@
-"""One request from its arrival to its outcome.
+"""Forwards a request to a backend server and returns its outcome.
 
-Finds the route, picks a server or the owner of the key, sends, and tries again
-where that is safe: requests that may be repeated, and those that certainly
-did not run. What is given up on is answered at once.
+Finds the route, selects a server (the key's owner for a keyed service), sends
+the request, and retries where that is safe: if the request is idempotent or has
+certainly not run. A request that won't be retried is answered at once.
 """
 
 from collections.abc import Callable
@@ -24,26 +24,26 @@
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
 
-# Servers that are looked at for one request, those included that can't be
-# connected to.
+# Server selections per request, including those of servers that it can't
+# connect to.
 MAX_SELECTIONS = 6
-# Left for the way back of an answer to the caller, ms.
+# Part of the caller's timeout that is reserved for delivering the answer.
 ANSWER_DELIVERY_MS = 8.0
-# A caller that doesn't say how long it waits.
+# Timeout of a caller whose request doesn't state one.
 DEFAULT_CALLER_TIMEOUT_MS = 10_000.0
-# Time to come back while an entry starts, which takes some 0.5 s.
+# Retry-After while an entry starts, which takes some 0.5 s.
 STARTING_RETRY_AFTER_MS = 300
-# Part of its time that a request waits at most for the configuration, or for
-# newer knowledge: it leaves the caller time to come back elsewhere.
+# Fraction of the caller's timeout that a request waits at most for the
+# configuration or for newer data; the rest lets the caller retry elsewhere.
 FRESHNESS_WAIT_FRACTION = 0.15
-# Knowledge turns recent without a notice if others answer that they know
-# nothing newer.
+# Interval between checks whether the data is recent: it also becomes so without
+# a notification, when other entries reply that they have nothing newer.
 FRESHNESS_CHECK_MS = 50.0
-# Time to come back after a request that this entry knows too little for: others
-# may know more.
+# Retry-After of a request refused because this entry's copy of the store is
+# stale; another entry may have a newer copy.
 STALE_RETRY_AFTER_MS = 60
-# Minimum interval between log lines about requests that are refused or sent by
-# an old copy of the store.
+# Minimum interval between log lines about requests that are refused or sent on
+# the basis of a stale copy of the store.
 STALE_LOG_INTERVAL_MS = 100.0
 # Minimum interval between log lines about requests to draining or paused
 # servers.
@@ -54,17 +54,17 @@
 
 def forward(forwarder: requests.Forwarder,
             request: requests.Request) -> requests.Outcome:
-    """Carries a request to its outcome."""
-    # Its body may have come long after its headers.
-    whole_at = forwarder.clock.now()
-    return (departures.check_arrival(forwarder.departure, whole_at) or
+    """Forwards a request and returns its outcome."""
+    # The body may have arrived long after the headers.
+    received_at = forwarder.clock.now()
+    return (departures.check_arrival(forwarder.departure, received_at) or
             _route(forwarder, request))
 
 
 def _route(forwarder: requests.Forwarder,
            request: requests.Request) -> requests.Outcome:
-    """Finds the service of a request and carries it there."""
-    snapshot = _await_configuration(forwarder, request)
+    """Finds the service of a request and forwards it to the service."""
+    snapshot = _wait_for_configuration(forwarder, request)
     if snapshot.configuration is None:
         return outcomes.NotRun(_Reason.STARTING, 'no configuration yet',
                                STARTING_RETRY_AFTER_MS)
@@ -74,105 +74,110 @@
     verdict = suspects.check(forwarder, request)
     if verdict is quarantine.Verdict.BLOCKED:
         return suspects.make_refusal()
-    name = matching.pick_service(route, forwarder.generator.random())
+    service_name = matching.pick_service(route, forwarder.generator.random())
     snapshot = forwarder.snapshot
-    service = snapshot.configuration.services.get(name)
+    service = snapshot.configuration.services.get(service_name)
     if service is None:
         return outcomes.NotRun(_Reason.NO_SERVER, 'no such service',
                                selection.SERVICE_RETRY_MS)
     if service.keyed and request.fields.key is None:
         return outcomes.NotRun(_Reason.MISSING_KEY, 'the request has no key')
-    patience_ms = request.fields.caller_timeout_ms or DEFAULT_CALLER_TIMEOUT_MS
-    until = request.arrived_at + min(patience_ms - ANSWER_DELIVERY_MS,
-                                     route.timeout_ms)
-    run = requests.Run(request, route, service, until)
+    caller_wait_ms = (request.fields.caller_timeout_ms or
+                      DEFAULT_CALLER_TIMEOUT_MS)
+    deadline_at = request.arrived_at + min(caller_wait_ms - ANSWER_DELIVERY_MS,
+                                           route.timeout_ms)
+    run = requests.Run(request, route, service, deadline_at)
     if verdict is quarantine.Verdict.SUSPECT:
         run.is_trial = suspects.begin_trial(forwarder, request)
     with forwarder.lock:
-        retrybudgets.record_request(_budget_of(forwarder, name),
+        retrybudgets.record_request(_find_retry_budget(forwarder, service_name),
                                     forwarder.platform.settings.bounds,
                                     request.arrived_at)
     forwarder.in_flight.add(run)
     try:
-        return _carry(forwarder, run)
+        return _send_with_retries(forwarder, run)
     finally:
         forwarder.in_flight.discard(run)
 
 
-def _await_configuration(forwarder: requests.Forwarder,
-                         request: requests.Request) -> tables.RoutingSnapshot:
-    """Waits a little for the configuration of an entry that has just started.
+def _wait_for_configuration(
+        forwarder: requests.Forwarder,
+        request: requests.Request) -> tables.RoutingSnapshot:
+    """Waits briefly for the configuration of an entry that has just started.
 
-    It comes some 25 ms after the first requests are read; a caller that is
-    refused meanwhile has spent its only repeat.
+    It arrives some 25 ms after the first requests are read. A caller that is
+    refused before that has used its only retry.
     """
     snapshot = forwarder.snapshot
-    until = _find_wait_end(request)
+    wait_until = _find_wait_deadline(request)
     while snapshot.configuration is None:
-        left_ms = until - forwarder.clock.now()
-        if left_ms <= 0:
+        remaining_ms = wait_until - forwarder.clock.now()
+        if remaining_ms <= 0:
             break
-        selection.await_snapshot(forwarder, snapshot, left_ms)
+        selection.await_snapshot(forwarder, snapshot, remaining_ms)
         snapshot = forwarder.snapshot
     return snapshot
 
 
 def _find_route(forwarder: requests.Forwarder,
                 request: requests.Request) -> tables.Route | outcomes.NotRun:
-    """Returns a request's route by a recent configuration, or a refusal."""
-    if not _await(forwarder, request, requests.is_configuration_recent):
-        return _refuse_outdated(forwarder, request)
+    """Returns a request's route in a recent configuration, or a refusal."""
+    if not _wait_until_recent(forwarder, request,
+                              requests.is_configuration_recent):
+        return _refuse_stale(forwarder, request)
     route = matching.find_route(forwarder.route_index, request.host,
                                 request.path)
     if route is not None:
         return route
-    if not _await(forwarder, request, requests.may_reject_unknown_route):
-        return _refuse_outdated(forwarder, request)
-    # It may have come while this waited.
+    if not _wait_until_recent(forwarder, request,
+                              requests.may_reject_unknown_route):
+        return _refuse_stale(forwarder, request)
+    # The route may have been added during the wait.
     route = matching.find_route(forwarder.route_index, request.host,
                                 request.path)
     return route or outcomes.NotRun(_Reason.UNKNOWN_SERVICE, 'no such route')
 
 
-def _find_wait_end(request: requests.Request) -> float:
-    patience_ms = request.fields.caller_timeout_ms or DEFAULT_CALLER_TIMEOUT_MS
-    return request.arrived_at + FRESHNESS_WAIT_FRACTION * patience_ms
+def _find_wait_deadline(request: requests.Request) -> float:
+    caller_wait_ms = (request.fields.caller_timeout_ms or
+                      DEFAULT_CALLER_TIMEOUT_MS)
+    return request.arrived_at + FRESHNESS_WAIT_FRACTION * caller_wait_ms
 
 
-def _await(forwarder: requests.Forwarder, request: requests.Request,
-           is_recent: Callable[[requests.Forwarder], bool]) -> bool:
-    """Waits a little for newer knowledge; returns whether it is recent."""
-    until = _find_wait_end(request)
+def _wait_until_recent(forwarder: requests.Forwarder, request: requests.Request,
+                       is_recent: Callable[[requests.Forwarder], bool]) -> bool:
+    """Waits briefly for newer data; returns whether the data is recent."""
+    wait_until = _find_wait_deadline(request)
     while not is_recent(forwarder):
-        left_ms = until - forwarder.clock.now()
-        if left_ms <= 0:
+        remaining_ms = wait_until - forwarder.clock.now()
+        if remaining_ms <= 0:
             return False
         staleness.wait_for_change(forwarder.freshness,
-                                  min(left_ms, FRESHNESS_CHECK_MS))
+                                  min(remaining_ms, FRESHNESS_CHECK_MS))
     return True
 
 
-def _refuse_outdated(forwarder: requests.Forwarder,
-                     request: requests.Request) -> outcomes.NotRun:
-    """Refuses a request that this entry knows too little for."""
-    _log_outdated(forwarder, request, 'refused_by_old_copy')
-    return outcomes.NotRun(_Reason.OUTDATED,
-                           'what is known of the store is too old',
+def _refuse_stale(forwarder: requests.Forwarder,
+                  request: requests.Request) -> outcomes.NotRun:
+    """Refuses a request because this entry's copy of the store is stale."""
+    _log_stale(forwarder, request, 'refused_by_old_copy')
+    return outcomes.NotRun(_Reason.OUTDATED, 'the copy of the store is stale',
                            STALE_RETRY_AFTER_MS)
 
 
-def _carry(forwarder: requests.Forwarder,
-           run: requests.Run) -> requests.Outcome:
+def _send_with_retries(forwarder: requests.Forwarder,
+                       run: requests.Run) -> requests.Outcome:
     for _ in range(MAX_SELECTIONS):
-        if not _await(forwarder, run.request, requests.is_server_data_recent):
+        if not _wait_until_recent(forwarder, run.request,
+                                  requests.is_server_data_recent):
             return attemptresults.find_outcome(
-                run, _refuse_outdated(forwarder, run.request))
+                run, _refuse_stale(forwarder, run.request))
         choice = selection.select_server(forwarder, run)
         if not isinstance(choice, placement.Choice):
             return attemptresults.find_outcome(run, choice)
         refusal = (_check_blocked(forwarder, run) or
                    _check_departure(forwarder, run, choice) or
-                   _check_repeat(forwarder, run, choice))
+                   _check_retry(forwarder, run, choice))
         if refusal is not None:
             return attemptresults.find_outcome(run, refusal)
         refusal = selection.take_permit(forwarder, run, choice.server)
@@ -180,18 +185,18 @@
             if run.service.keyed:
                 return attemptresults.find_outcome(run, refusal)
             continue
-        result = _try(forwarder, run, choice)
+        result = _send_attempt(forwarder, run, choice)
         if result is not None:
             return result
     return attemptresults.find_outcome(
         run,
-        outcomes.NotRun(_Reason.NO_SERVER, 'no server takes the request',
+        outcomes.NotRun(_Reason.NO_SERVER, 'no server accepts the request',
                         selection.SERVICE_RETRY_MS))
 
 
 def _check_blocked(forwarder: requests.Forwarder,
                    run: requests.Run) -> outcomes.NotRun | None:
-    """Returns the refusal of a request that has been blocked since it came."""
+    """Returns the refusal of a request blocked since it arrived, or None."""
     if run.is_trial or suspects.check(forwarder,
                                       run.request) is quarantine.Verdict.CLEAR:
         return None
@@ -200,55 +205,60 @@
 
 def _check_departure(forwarder: requests.Forwarder, run: requests.Run,
                      choice: placement.Choice) -> outcomes.NotRun | None:
-    """Returns the refusal of a request that can't end before this process."""
+    """Returns the refusal of a request that can't end before this process does.
+
+    Returns:
+      The refusal; None if the request may be sent.
+    """
     return departures.check_send(forwarder.departure, run.deadline_at,
                                  run.idempotent, choice.expected_ms,
                                  forwarder.clock.now())
 
 
-def _check_repeat(forwarder: requests.Forwarder, run: requests.Run,
-                  choice: placement.Choice) -> outcomes.NotRun | None:
-    """Returns the refusal of a try for which no repeat is left."""
-    if not run.sent_to or _may_repeat(forwarder, run, choice):
+def _check_retry(forwarder: requests.Forwarder, run: requests.Run,
+                 choice: placement.Choice) -> outcomes.NotRun | None:
+    """Returns the refusal of a retry for which no budget is left, or None."""
+    if not run.sent_to or _may_retry(forwarder, run, choice):
         return None
     return outcomes.NotRun(_Reason.OVERLOADED,
-                           'no repeats are left for the service',
+                           'the retry budget of the service is exhausted',
                            selection.SERVICE_RETRY_MS)
 
 
-def _may_repeat(forwarder: requests.Forwarder, run: requests.Run,
-                choice: placement.Choice) -> bool:
+def _may_retry(forwarder: requests.Forwarder, run: requests.Run,
+               choice: placement.Choice) -> bool:
     if not suspects.may_retry(forwarder, run):
         return False
-    # The new owner of a moving key may have turned the request away before it
-    # was granted the key; asking it again takes it to no other server.
+    # The new owner of a moving key may have rejected the request before it was
+    # granted the key. Sending it there again doesn't involve another server.
     if len(run.sent_to | {choice.server.id}) > max(1, run.route.max_attempts):
         return False
     with forwarder.lock:
-        return retrybudgets.take_retry(_budget_of(forwarder, run.service.name),
-                                       forwarder.platform.settings.bounds,
-                                       max(1, len(forwarder.snapshot.entries)),
-                                       forwarder.clock.now())
+        return retrybudgets.take_retry(
+            _find_retry_budget(forwarder, run.service.name),
+            forwarder.platform.settings.bounds,
+            max(1, len(forwarder.snapshot.entries)), forwarder.clock.now())
 
 
-def _try(forwarder: requests.Forwarder, run: requests.Run,
-         choice: placement.Choice) -> requests.Outcome | None:
-    """Sends the request to a server; None if another may be tried."""
+def _send_attempt(forwarder: requests.Forwarder, run: requests.Run,
+                  choice: placement.Choice) -> requests.Outcome | None:
+    """Sends the request to a server; returns None if it may be retried."""
     request, server = run.request, choice.server
-    state, pool = _enter(forwarder, run.service, server)
+    state, pool = _begin_attempt(forwarder, run.service, server)
     sent_at = forwarder.clock.now()
-    until = min(run.deadline_at,
-                departures.find_end(forwarder.departure, sent_at))
+    attempt_deadline_at = min(run.deadline_at,
+                              departures.find_end(forwarder.departure, sent_at))
 
     def make_headers() -> dict[str, str] | None:
-        # A connection may take 0.5 s on a small machine, in which news come.
+        # Opening a connection may take 0.5 s on a small machine; the server's
+        # state may have changed meanwhile.
         if (not selection.may_send(forwarder, run.service, server.id) or
                 _check_departure(forwarder, run, choice) is not None or
                 _check_blocked(forwarder, run) is not None):
             return None
         if requests.find_knowledge_age(
                 forwarder) > forwarder.age_limits.max_send_age_ms:
-            _log_outdated(forwarder, request, 'sent_by_old_copy')
+            _log_stale(forwarder, request, 'sent_by_old_copy')
         _log_if_unavailable(forwarder, run, server, state)
         ratelimits.note_sent(forwarder.rate_limits, server.id,
                              bool(run.sent_to), forwarder.clock.now(),
@@ -256,14 +266,16 @@
         headers = dict(request.headers)
         run.server, run.sent_at = server.id, forwarder.clock.now()
         forwarder.platform.header_format.add_server_headers(
-            headers, server.name or server.id, until - run.sent_at)
+            headers, server.name or server.id,
+            attempt_deadline_at - run.sent_at)
         return headers
 
-    order = exchange.OutgoingRequest(request.fields.request_id, request.method,
-                                     request.target, make_headers, request.body,
-                                     run.idempotent, until)
+    outgoing = exchange.OutgoingRequest(request.fields.request_id,
+                                        request.method, request.target,
+                                        make_headers, request.body,
+                                        run.idempotent, attempt_deadline_at)
     result = exchange.send(
-        pool, order, request.watch,
+        pool, outgoing, request.watch,
         forwarder.platform.header_format.parse_answer_headers, forwarder.clock)
     now = forwarder.clock.now()
     run.server = ''
@@ -276,8 +288,9 @@
         with forwarder.lock:
             placement.record_abandoned(state)
         run.excluded_servers.add(server.id)
-        late = _check_departure(forwarder, run, choice)
-        return None if late is None else attemptresults.find_outcome(run, late)
+        refusal = _check_departure(forwarder, run, choice)
+        return None if refusal is None else attemptresults.find_outcome(
+            run, refusal)
     if isinstance(result, exchange.NotSent):
         with forwarder.lock:
             placement.record_connect_failure(state, now)
@@ -295,9 +308,9 @@
                                         now - sent_at)
 
 
-def _log_outdated(forwarder: requests.Forwarder, request: requests.Request,
-                  event: str) -> None:
-    """Logs what became of a request by an old copy, rate-limited."""
+def _log_stale(forwarder: requests.Forwarder, request: requests.Request,
+               event: str) -> None:
+    """Logs a request handled with a stale copy of the store, rate-limited."""
     now = forwarder.clock.now()
     if now - forwarder.stale_logged_at < STALE_LOG_INTERVAL_MS:
         return
@@ -334,7 +347,7 @@
                           repeat=bool(run.sent_to))
 
 
-def _enter(
+def _begin_attempt(
         forwarder: requests.Forwarder, service: tables.Service,
         server: tables.Server
 ) -> tuple[placement.ServerState, connections.Pool]:
@@ -345,27 +358,29 @@
         pool = forwarder.pools.get(server.id)
         if pool is None:
             pool = connections.Pool(server.address,
-                                    _find_rules(forwarder, service),
+                                    _find_connection_rules(forwarder, service),
                                     forwarder.clock)
             forwarder.pools[server.id] = pool
         return state, pool
 
 
-def _find_rules(forwarder: requests.Forwarder,
-                service: tables.Service) -> connections.Rules:
+def _find_connection_rules(forwarder: requests.Forwarder,
+                           service: tables.Service) -> connections.Rules:
     """Returns the rules of connections to a server of a service.
 
-    Servers reset what is beyond their limit: 237 connections on a day of 60
-    entries that kept up to 12 each.
+    The entries share the connections that a server accepts, as it resets those
+    beyond its limit: with 60 entries that kept up to 12 each, servers reset 237
+    connections within a day.
     """
-    # An entry that started again is registered twice for a while.
+    # An entry that restarted is registered twice for a while.
     entries = {peer.address for peer in forwarder.snapshot.entries.values()}
-    share = connections.share_connections(service.max_connections, len(entries))
+    connection_share = connections.share_connections(service.max_connections,
+                                                     len(entries))
     return dataclasses.replace(forwarder.rules,
-                               most=min(forwarder.rules.most, share))
+                               most=min(forwarder.rules.most, connection_share))
 
 
-def _budget_of(forwarder: requests.Forwarder,
-               service: str) -> retrybudgets.RetryBudget:
+def _find_retry_budget(forwarder: requests.Forwarder,
+                       service: str) -> retrybudgets.RetryBudget:
     return forwarder.retry_budgets.setdefault(
         service, retrybudgets.RetryBudget(started_at=forwarder.started_at))
