--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -217,11 +217,10 @@
 
 def _check_retry(forwarder: requests.Forwarder, run: requests.Run,
                  choice: placement.Choice) -> outcomes.NotRun | None:
-    """Returns the refusal of a retry for which no budget is left, or None."""
+    """Returns the refusal of a retry that isn't allowed, or None."""
     if not run.sent_to or _may_retry(forwarder, run, choice):
         return None
-    return outcomes.NotRun(_Reason.OVERLOADED,
-                           'the retry budget of the service is exhausted',
+    return outcomes.NotRun(_Reason.OVERLOADED, 'no further attempt is allowed',
                            selection.SERVICE_RETRY_MS)
 
 
