--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers, the balancer and the other entries, by cheroot."""
+"""HTTP servers for callers, the load balancer and other entries, on cheroot."""
 
 from collections.abc import Callable
 import logging
@@ -21,27 +21,29 @@
 from lentilmoor.edge import requests
 from lentilmoor.edge import sockets
 
-# Kept on top of the time that callers may reuse an idle connection: the
-# library measures idle time by the time of day, which may jump by seconds.
+# Added to the time for which callers may reuse an idle connection, as cheroot
+# measures idle time by the wall clock, which may jump by seconds.
 IDLE_TIMEOUT_MARGIN_S = 5.0
 
 _Reason = outcomes.Reason
-_CHUNK_BYTES = 64 * 1024
-# Started beyond what is lacking: where all are busy, more requests come.
+_READ_BLOCK_BYTES = 64 * 1024
+# Threads started in addition to the missing ones, as more requests are likely
+# to follow when all threads are busy.
 EXTRA_THREADS = 4
 
 ForwardRequest = Callable[[requests.Request], requests.Outcome]
 RecordOutcome = Callable[[requests.Request, requests.Outcome], None]
 PageHandler = Callable[[bytes], tuple[int, bytes, str]]
-"""(body) -> status, body and content type of a page."""
+"""Called with the request's body; returns status, body and content type."""
 RecordWrite = Callable[[str, int, float], None]
-"""(address of who asked, bytes, ms) takes in how long a page took to write."""
+"""Called with the client's address, the page's bytes and the write's ms."""
 
 
 class WorkerPool(threadpool.ThreadPool):
     """Threads that answer requests; more are started when all are busy.
 
-    Most entries need a few, and each takes memory and a part of a start.
+    Most entries need only a few, and each thread takes memory and prolongs the
+    start.
     """
 
     def __init__(self, server: cheroot_server.HTTPServer, min_threads: int,
@@ -50,11 +52,11 @@
         self._grow_lock = threading.Lock()
 
     def put(self, obj) -> None:
-        """Hands over a connection on which a request has come."""
+        """Queues a connection on which a request has arrived."""
         super().put(obj)
         if self._count_missing_threads() > 0 and len(self._threads) < self.max:
-            # The library waits until a new thread runs; who accepts
-            # connections must not.
+            # `grow` blocks until a new thread runs, which must not delay the
+            # thread that accepts connections.
             threading.Thread(target=self._add_missing_threads,
                              daemon=True).start()
 
@@ -63,22 +65,22 @@
 
     def _add_missing_threads(self) -> None:
         with self._grow_lock:
-            lacking = self._count_missing_threads()
-            if lacking > 0:
-                self.grow(lacking + EXTRA_THREADS)
+            missing_threads = self._count_missing_threads()
+            if missing_threads > 0:
+                self.grow(missing_threads + EXTRA_THREADS)
 
 
 class Listener(cheroot_server.HTTPServer):
-    """A server that may be handed a socket that listens already.
+    """An HTTP server that can use a socket that is already listening.
 
     Attributes:
-      opened: That socket; None to open one.
+      listening_socket: That socket; None to open one.
     """
 
     listening_socket: socket.socket | None = None
 
     def bind(self, family, type, proto=0):  # pylint: disable=redefined-builtin
-        """Takes the socket that was handed over, or opens one."""
+        """Uses `listening_socket`, or opens a socket if it is None."""
         if self.listening_socket is None:
             return super().bind(family, type, proto)
         # pylint: disable-next=attribute-defined-outside-init
@@ -90,26 +92,26 @@
 def make_listener(address: str, gateway: type[cheroot_server.Gateway],
                   threads: tuple[int, int],
                   log_error: Callable[..., None]) -> Listener:
-    """Returns a server that hands each request to a gateway.
+    """Returns a server that passes each request to a gateway.
 
     Args:
       address: host:port.
       gateway: Answers requests.
-      threads: Requests answered at once: without starting more threads, and at
-        most.
-      log_error: Takes the library's errors.
+      threads: Minimum and maximum number of threads, each of which answers one
+        request at a time.
+      log_error: Called with cheroot's error messages.
     """
     host, _, port = address.rpartition(':')
-    server = Listener((host, int(port)), gateway, server_name='lentilmoor')
-    server.requests = WorkerPool(server, *threads)
-    server.request_queue_size = sockets.BACKLOG
-    server.keep_alive_conn_limit = None
-    server.error_log = log_error
-    return server
+    listener = Listener((host, int(port)), gateway, server_name='lentilmoor')
+    listener.requests = WorkerPool(listener, *threads)
+    listener.request_queue_size = sockets.BACKLOG
+    listener.keep_alive_conn_limit = None
+    listener.error_log = log_error
+    return listener
 
 
 def make_error_log(logger) -> Callable[..., None]:
-    """Returns what takes the library's errors."""
+    """Returns a function that logs cheroot's errors."""
 
     def log_error(message: str = '',
                   level: int = logging.INFO,
@@ -134,27 +136,27 @@
       request_count: Counts the requests in flight; says whether the process is
         shutting down, so that connections must be closed.
       find_max_body_bytes: Returns the size limit of a request's body.
-      clock: Time.
+      clock: The clock of a request's arrival time.
     """
 
     class CallerGateway(cheroot_server.Gateway):
         """Answers one request of a caller."""
 
         def respond(self) -> None:
-            """Reads the request, carries it and writes its outcome."""
+            """Reads the request, forwards it and writes its outcome."""
             request_count.enter()
             try:
                 request = _read_request(self.req, header_format,
                                         find_max_body_bytes(), clock)
                 if isinstance(request, outcomes.NotRun):
                     self.req.close_connection = True
-                    _refuse(self.req, request)
+                    _write_problem(self.req, request)
                     return
                 outcome = forward(request)
                 record_outcome(request, outcome)
-                # Set last: a shutdown may have begun meanwhile.
+                # Read after forwarding, as a shutdown may have begun meanwhile.
                 self.req.close_connection |= request_count.closing
-                _write(self.req, request, outcome)
+                _write_outcome(self.req, request, outcome)
             finally:
                 request_count.leave()
 
@@ -166,112 +168,115 @@
         clock: clocks.Clock,
         record_write: RecordWrite | None = None,
         write_timeout_ms: float | None = None) -> type[cheroot_server.Gateway]:
-    """Returns a gateway class for small pages by path.
+    """Returns a gateway class that serves small pages.
 
     Args:
-      pages: By path.
-      clock: Time.
+      pages: Handlers by path; other paths get status 404.
+      clock: Measures the duration of writes.
       record_write: Called with the duration of each page's write, if given.
       write_timeout_ms: Time after which a write to a client that reads nothing
-        is aborted; the library's timeout if None.
+        is aborted; cheroot's timeout if None.
     """
 
     class PageGateway(cheroot_server.Gateway):
         """Answers one request for a page."""
 
         def respond(self) -> None:
-            """Writes the page."""
-            page = pages.get(self.req.path.decode('latin-1'))
-            status, body, kind = 404, b'', 'text/plain'
-            if page is not None:
+            """Writes the page of the request's path."""
+            handler = pages.get(self.req.path.decode('latin-1'))
+            status, body, content_type = 404, b'', 'text/plain'
+            if handler is not None:
                 length = int(self.req.inheaders.get(b'Content-Length', 0))
-                status, body, kind = page(
+                status, body, content_type = handler(
                     self.req.rfile.read(length) if length else b'')
             if write_timeout_ms is not None:
                 self.req.conn.socket.settimeout(write_timeout_ms /
                                                 clocks.MS_PER_S)
-            began = clock.now()
+            started_at = clock.now()
             try:
                 responses.write_problem(
                     self.req,
                     problems.Problem(status,
-                                     (('Content-Type', kind),
+                                     (('Content-Type', content_type),
                                       ('Content-Length', str(len(body)))),
                                      body))
             finally:
                 if record_write is not None:
                     record_write(self.req.conn.remote_addr, len(body),
-                                 clock.now() - began)
+                                 clock.now() - started_at)
             self.req.conn.socket.settimeout(self.req.server.timeout)
 
     return PageGateway
 
 
 def _read_request(request: cheroot_server.HTTPRequest,
-                  dialect: ports.HeaderFormat, limit: int,
+                  header_format: ports.HeaderFormat, max_bytes: int,
                   clock: clocks.Clock) -> requests.Request | outcomes.NotRun:
     arrived_at = clock.now()
-    body = _read_body(request, limit)
+    body = _read_body(request, max_bytes)
     if isinstance(body, outcomes.NotRun):
         return body
     path, _, _ = request.uri.partition(b'?')
     return requests.Request(
-        fields=dialect.parse_caller_headers(request.inheaders),
+        fields=header_format.parse_caller_headers(request.inheaders),
         method=request.method.decode('latin-1'),
         host=request.inheaders.get(b'Host', b'').decode('latin-1'),
         path=path.decode('latin-1'),
         target=request.uri.decode('latin-1'),
-        headers=_copy_headers(request, dialect, body),
+        headers=_copy_headers(request, header_format, body),
         body=body,
         watch=exchange.CallerWatch(request.conn.socket),
         arrived_at=arrived_at)
 
 
 def _read_body(request: cheroot_server.HTTPRequest,
-               limit: int) -> bytes | outcomes.NotRun:
-    length = _find_length(request)
+               max_bytes: int) -> bytes | outcomes.NotRun:
+    length = _find_declared_length(request)
     if isinstance(length, outcomes.NotRun):
         return length
     if length == 0:
         return b''
-    parts, size = [], 0
+    blocks, byte_count = [], 0
     try:
-        while part := request.rfile.read(_CHUNK_BYTES):
-            parts.append(part)
-            size += len(part)
-            if size > limit:
+        while block := request.rfile.read(_READ_BLOCK_BYTES):
+            blocks.append(block)
+            byte_count += len(block)
+            if byte_count > max_bytes:
                 return outcomes.NotRun(_Reason.BODY_TOO_LARGE,
-                                       f'expected at most {limit} bytes')
+                                       f'expected at most {max_bytes} bytes')
     except (OSError, ValueError) as error:
         return outcomes.NotRun(_Reason.BAD_REQUEST, str(error))
-    if length is not None and size != length:
-        return outcomes.NotRun(_Reason.BAD_REQUEST, 'the body ended early')
-    return b''.join(parts)
+    if length is not None and byte_count != length:
+        return outcomes.NotRun(_Reason.BAD_REQUEST,
+                               'the body is shorter than its Content-Length')
+    return b''.join(blocks)
 
 
-def _find_length(
+def _find_declared_length(
         request: cheroot_server.HTTPRequest) -> int | None | outcomes.NotRun:
-    """Returns the declared length of a body; None if it comes in chunks."""
+    """Returns the declared length of a body; None if it is chunked."""
     if not request.chunked_read:
         length = int(request.inheaders.get(b'Content-Length', 0))
         if length < 0:
-            return outcomes.NotRun(_Reason.BAD_REQUEST, 'a length below 0')
+            return outcomes.NotRun(_Reason.BAD_REQUEST,
+                                   'negative Content-Length')
         return length
     request.rfile = chunks.ChunkedBody(request.conn.rfile)
     if b'Content-Length' in request.inheaders:
         return outcomes.NotRun(_Reason.BAD_REQUEST,
-                               'a length beside a chunked body')
+                               'Content-Length with a chunked body')
     return None
 
 
 def _copy_headers(request: cheroot_server.HTTPRequest,
-                  dialect: ports.HeaderFormat, body: bytes) -> dict[str, str]:
-    dropped = dialect.dropped_headers
-    listed = request.inheaders.get(b'Connection')
-    if listed:
+                  header_format: ports.HeaderFormat,
+                  body: bytes) -> dict[str, str]:
+    dropped = header_format.dropped_headers
+    connection_options = request.inheaders.get(b'Connection')
+    if connection_options:
         dropped = dropped | frozenset(
             name.strip().lower()
-            for name in listed.decode('latin-1').split(','))
+            for name in connection_options.decode('latin-1').split(','))
     headers = {}
     for name, value in request.inheaders.items():
         text = name.decode('latin-1')
@@ -280,24 +285,26 @@
     if body or request.chunked_read or b'Content-Length' in request.inheaders:
         headers['Content-Length'] = str(len(body))
     for name in ('User-Agent', 'Accept-Encoding'):
-        # The library would add its own, which would speak for the caller.
+        # Otherwise urllib3 adds its own value, which the caller didn't send.
         headers.setdefault(name, util.SKIP_HEADER)
     return headers
 
 
-def _write(request: cheroot_server.HTTPRequest, call: requests.Request,
-           outcome: requests.Outcome) -> None:
+def _write_outcome(request: cheroot_server.HTTPRequest,
+                   parsed_request: requests.Request,
+                   outcome: requests.Outcome) -> None:
     if isinstance(outcome, exchange.CallerDisconnected):
         request.close_connection = True
-        request.sent_headers = True  # Nobody reads an answer.
+        request.sent_headers = True  # Suppresses the answer.
     elif isinstance(outcome, tries.Answer):
-        responses.write_answer(request, call.fields.request_id, outcome)
+        responses.write_answer(request, parsed_request.fields.request_id,
+                               outcome)
     else:
-        _refuse(request, outcome)
+        _write_problem(request, outcome)
 
 
-def _refuse(request: cheroot_server.HTTPRequest,
-            outcome: outcomes.NotRun | outcomes.Unknown) -> None:
+def _write_problem(request: cheroot_server.HTTPRequest,
+                   outcome: outcomes.NotRun | outcomes.Unknown) -> None:
     responses.write_problem(
         request,
         problems.make(outcome, fractional_seconds=True, invite_retries=True))
