--- a/tests/test_edge_departures.py
+++ b/tests/test_edge_departures.py
@@ -81,7 +81,7 @@
         self.assertTrue(self._check(14_100.0))
 
 
-class WaitingRequestTest(test_edge_forwarding.KeyCase):
+class WaitingRequestTest(test_edge_forwarding.ForwardingTestCase):
     """Requests that waited when SIGTERM came were sent right before the end."""
 
     def _leave(self, left_ms: float) -> None:
@@ -93,7 +93,8 @@
 
     def _leave_before_the_key_moves(self) -> None:
         for timer in (threading.Timer(0.02, self._leave, (400.0,)),
-                      threading.Timer(0.05, self._publish, (self.after.id,))):
+                      threading.Timer(0.05, self._publish,
+                                      (self.new_owner.id,))):
             timer.start()
             self.addCleanup(timer.join)
 
@@ -102,21 +103,21 @@
         self.assertIs(outcome.reason, outcomes.Reason.SHUTTING_DOWN)
 
     def test_one_that_waits_for_its_owner_is_not_sent(self):
-        self.forwarder.server_states[self.after.id] = placement.ServerState(
+        self.forwarder.server_states[self.new_owner.id] = placement.ServerState(
             shared_work_ms=220.0)
         self._publish('nobody')
         self._leave_before_the_key_moves()
         self._assert_refused(self._forward())
-        self.assertEqual(self.after.arrivals, 0)
+        self.assertEqual(self.new_owner.arrivals, 0)
 
     def test_one_that_waits_for_a_connection_is_not_sent(self):
-        self._publish(self.after.id)
-        self.forwarder.server_states[self.after.id] = placement.ServerState(
+        self._publish(self.new_owner.id)
+        self.forwarder.server_states[self.new_owner.id] = placement.ServerState(
             shared_work_ms=100.0)
-        pool = requests.connections.Pool(self.after.address,
+        pool = requests.connections.Pool(self.new_owner.address,
                                          self.forwarder.rules,
                                          self.forwarder.clock)
-        self.forwarder.pools[self.after.id] = pool
+        self.forwarder.pools[self.new_owner.id] = pool
         open_connection = pool.take
 
         def take(*args):
@@ -125,15 +126,15 @@
 
         pool.take = take
         self._assert_refused(self._forward())
-        self.assertEqual(self.after.arrivals, 0)
+        self.assertEqual(self.new_owner.arrivals, 0)
 
     def test_one_that_was_turned_away_is_not_sent_again(self):
-        self.forwarder.server_states[self.after.id] = placement.ServerState(
+        self.forwarder.server_states[self.new_owner.id] = placement.ServerState(
             shared_work_ms=220.0)
         self._leave_before_the_key_moves()
         self._assert_refused(self._forward())
-        self.assertEqual(self.before.arrivals, 1)
-        self.assertEqual(self.after.arrivals, 0)
+        self.assertEqual(self.old_owner.arrivals, 1)
+        self.assertEqual(self.new_owner.arrivals, 0)
 
 
 if __name__ == '__main__':
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -1,4 +1,4 @@
-"""One request on its way, against stand-ins of the users' servers."""
+"""Tests of forwarding requests to stand-ins of the users' servers."""
 
 import dataclasses
 import math
@@ -40,25 +40,28 @@
                        hold_max_ms=9_000.0)
 
 
-class KeyCase(unittest.TestCase):
-    """A forwarder and two servers, of which one holds all keys."""
+class ForwardingTestCase(unittest.TestCase):
+    """A forwarder and two servers; the new owner has been granted all keys.
+
+    The published assignment still names the old owner, which therefore rejects
+    all requests.
+    """
 
     def setUp(self):
         super().setUp()
         store = platform_store.PlatformStore()
         self.addCleanup(store.close)
-        self.before, self.after = (platform_server.PlatformServer(store,
-                                                                  'catalog',
-                                                                  keyed=True)
-                                   for _ in range(2))
-        for server in (self.before, self.after):
+        self.old_owner, self.new_owner = (platform_server.PlatformServer(
+            store, 'catalog', keyed=True) for _ in range(2))
+        for server in (self.old_owner, self.new_owner):
             self.addCleanup(server.close)
-        self.after.grant({
-            'From': 0,
-            'To': 65_535,
-            'fence': 2,
-            'HoldMs': 8_000
-        }, time.monotonic())
+        self.new_owner.grant(
+            {
+                'From': 0,
+                'To': 65_535,
+                'fence': 2,
+                'HoldMs': 8_000
+            }, time.monotonic())
         settings = ports.Settings('e1', 'a', '', '', '', '', (), 1.0, 1_000.0,
                                   _BOUNDS)
         clock = clocks.make_suspend_clock()
@@ -68,7 +71,7 @@
         staleness.record_known_times(self.forwarder.freshness, math.inf,
                                      math.inf)
         self.addCleanup(self._close_pools)
-        self._publish(self.before.id)
+        self._publish(self.old_owner.id)
 
     def _publish(self, owner: str, attempts: int = 3) -> None:
         route = tables.Route('stock', 'h', '/', tables.RepeatPolicy.IDEMPOTENT,
@@ -81,7 +84,8 @@
         servers = {
             item.id:
                 tables.Server(item.id, 'catalog', item.address, 'a', 2, False,
-                              0.0, 0.0) for item in (self.before, self.after)
+                              0.0, 0.0)
+            for item in (self.old_owner, self.new_owner)
         }
         assignment = keyranges.Assignment(
             'catalog', 1, 3, (keyranges.KeyRange(0, 65_535, owner, 2),))
@@ -97,28 +101,29 @@
             pool.close()
 
     def _forward(self) -> requests.Outcome:
-        ours, theirs = socket.socketpair()
-        self.addCleanup(ours.close)
-        self.addCleanup(theirs.close)
+        entry_socket, caller_socket = socket.socketpair()
+        self.addCleanup(entry_socket.close)
+        self.addCleanup(caller_socket.close)
         request = requests.Request(ports.CallerHeaders('r1', 2_000.0, _KEY),
                                    'GET', 'h', '/x', '/x',
                                    {'Lentilmoor-Shard-Key': str(_KEY)}, b'',
-                                   exchange.CallerWatch(ours),
+                                   exchange.CallerWatch(entry_socket),
                                    self.forwarder.clock.now())
         return forwarding.forward(self.forwarder, request)
 
 
-class MovingKeyTest(KeyCase):
-    """The key moves from one server to another while a request arrives."""
+class MovingKeyTest(ForwardingTestCase):
+    """A key moves from one server to another while a request is in flight."""
 
-    def test_the_new_owner_may_be_asked_again_before_it_has_the_key(self):
-        # It is known once it is saved, some ms before it is granted the key. A
-        # request that both servers had turned away had no tries left then.
-        self.after.held.clear()
-        self._publish(self.before.id, attempts=2)
+    def test_the_new_owner_is_retried_until_it_is_granted_the_key(self):
+        # A new owner is published once it is stored, some ms before it is
+        # granted the key. Requests rejected by both servers before the grant
+        # failed, as they had no attempts left.
+        self.new_owner.held.clear()
+        self._publish(self.old_owner.id, attempts=2)
         timers = [
-            threading.Timer(0.02, self._publish, (self.after.id, 2)),
-            threading.Timer(0.05, self.after.grant, ({
+            threading.Timer(0.02, self._publish, (self.new_owner.id, 2)),
+            threading.Timer(0.05, self.new_owner.grant, ({
                 'From': 0,
                 'To': 65_535,
                 'fence': 3,
@@ -131,109 +136,112 @@
         outcome = self._forward()
         self.assertIsInstance(outcome, tries.Answer)
         self.assertEqual(outcome.status, 200)
-        self.assertEqual(self.after.arrivals, 2)
-        self.assertEqual(self.before.arrivals, 1)
+        self.assertEqual(self.new_owner.arrivals, 2)
+        self.assertEqual(self.old_owner.arrivals, 1)
 
-    def test_no_more_servers_are_asked_than_the_route_allows(self):
-        self._publish(self.before.id, attempts=1)
-        threading.Timer(0.02, self._publish, (self.after.id, 1)).start()
+    def test_no_more_servers_are_tried_than_the_route_allows(self):
+        self._publish(self.old_owner.id, attempts=1)
+        threading.Timer(0.02, self._publish, (self.new_owner.id, 1)).start()
         outcome = self._forward()
         self.assertIsInstance(outcome, outcomes.NotRun)
-        self.assertEqual(self.after.arrivals, 0)
+        self.assertEqual(self.new_owner.arrivals, 0)
 
-    def test_it_waits_for_the_new_owner_as_long_as_work_takes(self):
-        # Keys are released when the work on them has ended: entries asked the
-        # old owner again after 60 ms, and had no tries left after 120 ms.
-        self.forwarder.server_states[self.before.id] = placement.ServerState(
+    def test_waits_for_the_new_owner_as_long_as_requests_take(self):
+        # An owner releases a key when its requests for it have ended. Entries
+        # that retried the old owner after 60 ms had no attempts left after
+        # 120 ms.
+        self.forwarder.server_states[self.old_owner.id] = placement.ServerState(
             shared_work_ms=220.0)
-        threading.Timer(0.18, self._publish, (self.after.id,)).start()
+        threading.Timer(0.18, self._publish, (self.new_owner.id,)).start()
         outcome = self._forward()
         self.assertIsInstance(outcome, tries.Answer)
         self.assertEqual(outcome.status, 200)
-        self.assertEqual((self.before.arrivals, self.after.arrivals), (1, 1))
+        self.assertEqual((self.old_owner.arrivals, self.new_owner.arrivals),
+                         (1, 1))
         self.assertTrue(self.forwarder.report_now.is_set())
 
-    def _drain_owner(self, learned_ms_ago: float) -> None:
-        """The owner leaves, and its key does not move."""
+    def _drain_owner(self, draining_for_ms: float) -> None:
+        """Publishes that the owner is draining, without moving its key."""
         snapshot = self.forwarder.snapshot
         servers = dict(snapshot.servers['catalog'])
-        servers[self.before.id] = dataclasses.replace(
-            servers[self.before.id],
+        servers[self.old_owner.id] = dataclasses.replace(
+            servers[self.old_owner.id],
             draining=True,
-            draining_at=self.forwarder.clock.now() - learned_ms_ago)
+            draining_at=self.forwarder.clock.now() - draining_for_ms)
         self.forwarder.snapshot = dataclasses.replace(
             snapshot, servers={'catalog': servers})
 
-    def test_an_owner_that_leaves_is_sent_nothing_after_a_while(self):
+    def test_a_draining_owner_gets_no_late_requests(self):
         self._drain_owner(500.0)
         self._forward()
-        self.assertGreaterEqual(self.before.arrivals, 1)
-        known = self.before.arrivals
+        self.assertGreaterEqual(self.old_owner.arrivals, 1)
+        earlier_arrivals = self.old_owner.arrivals
         self._drain_owner(1_001.0)
         outcome = self._forward()
         self.assertEqual(outcome.reason, outcomes.Reason.NO_OWNER)
-        self.assertEqual(self.before.arrivals, known)
+        self.assertEqual(self.old_owner.arrivals, earlier_arrivals)
 
-    def test_an_owner_that_is_not_listed_is_sent_nothing_after_a_while(self):
+    def test_an_unlisted_owner_gets_no_late_requests(self):
         snapshot = self.forwarder.snapshot
-        for ago_ms, sent in ((500.0, True), (1_001.0, False)):
+        for unlisted_for_ms, sent in ((500.0, True), (1_001.0, False)):
             servers = dict(snapshot.servers['catalog'])
-            servers[self.before.id] = dataclasses.replace(
-                servers[self.before.id],
-                unlisted_at=self.forwarder.clock.now() - ago_ms)
+            servers[self.old_owner.id] = dataclasses.replace(
+                servers[self.old_owner.id],
+                unlisted_at=self.forwarder.clock.now() - unlisted_for_ms)
             self.forwarder.snapshot = dataclasses.replace(
                 snapshot, servers={'catalog': servers})
-            known = self.before.arrivals
+            earlier_arrivals = self.old_owner.arrivals
             self._forward()
-            self.assertEqual(self.before.arrivals > known, sent)
+            self.assertEqual(self.old_owner.arrivals > earlier_arrivals, sent)
 
     def test_an_owner_whose_answers_report_draining_gets_no_late_requests(self):
-        for ago_ms, sent in ((500.0, True), (1_001.0, False)):
+        for draining_for_ms, sent in ((500.0, True), (1_001.0, False)):
             self.forwarder.server_states[
-                self.before.id] = placement.ServerState(
-                    draining_at=self.forwarder.clock.now() - ago_ms)
-            earlier_arrivals = self.before.arrivals
+                self.old_owner.id] = placement.ServerState(
+                    draining_at=self.forwarder.clock.now() - draining_for_ms)
+            earlier_arrivals = self.old_owner.arrivals
             outcome = self._forward()
-            self.assertEqual(self.before.arrivals > earlier_arrivals, sent)
+            self.assertEqual(self.old_owner.arrivals > earlier_arrivals, sent)
         self.assertEqual(outcome.reason, outcomes.Reason.NO_OWNER)
 
     def test_a_paused_owner_gets_no_requests_until_the_pause_ends(self):
         # A request for a key must be refused at once, not held and retried.
         state = placement.ServerState(paused_until=self.forwarder.clock.now() +
                                       300.0)
-        self.forwarder.server_states[self.before.id] = state
+        self.forwarder.server_states[self.old_owner.id] = state
         started_at = self.forwarder.clock.now()
         outcome = self._forward()
         self.assertIsInstance(outcome, outcomes.NotRun)
         self.assertLess(self.forwarder.clock.now() - started_at, 100.0)
-        self.assertEqual(self.before.arrivals, 0)
+        self.assertEqual(self.old_owner.arrivals, 0)
         self.assertEqual(len(self.forwarder.samples), 1)
         time.sleep(0.31)
         self._forward()
-        self.assertGreater(self.before.arrivals, 0)
+        self.assertGreater(self.old_owner.arrivals, 0)
 
     def test_a_pause_that_starts_while_a_connection_opens_is_respected(self):
         # A request for which the server was already selected must not be sent.
         rules = dataclasses.replace(_RULES, opens_per_s=5.0, burst=0.0)
-        self.forwarder.pools[self.before.id] = connections.Pool(
-            self.before.address, rules, self.forwarder.clock)
+        self.forwarder.pools[self.old_owner.id] = connections.Pool(
+            self.old_owner.address, rules, self.forwarder.clock)
         state = placement.ServerState()
-        self.forwarder.server_states[self.before.id] = state
+        self.forwarder.server_states[self.old_owner.id] = state
         threading.Timer(0.1, placement.record_pause,
                         (state, 5_000.0, self.forwarder.clock.now())).start()
         outcome = self._forward()
         self.assertIsInstance(outcome, outcomes.NotRun)
-        self.assertEqual(self.before.arrivals, 0)
+        self.assertEqual(self.old_owner.arrivals, 0)
 
-    def test_news_that_come_while_a_connection_is_opened_are_heeded(self):
-        # One that took 0.5 s carried an order to a server that had left.
+    def test_draining_reported_while_a_connection_opens_is_respected(self):
+        # Opening a connection took 0.5 s, and the request was then sent to a
+        # server that had left in the meantime.
         rules = dataclasses.replace(_RULES, opens_per_s=5.0, burst=0.0)
-        self.forwarder.pools[self.before.id] = connections.Pool(
-            self.before.address, rules, self.forwarder.clock)
+        self.forwarder.pools[self.old_owner.id] = connections.Pool(
+            self.old_owner.address, rules, self.forwarder.clock)
         threading.Timer(0.1, self._drain_owner, (1_500.0,)).start()
         outcome = self._forward()
         self.assertIsInstance(outcome, outcomes.NotRun)
-        self.assertEqual(self.before.arrivals, 0)
+        self.assertEqual(self.old_owner.arrivals, 0)
 
     def test_entries_share_the_connections_that_a_server_accepts(self):
         entries = {
@@ -244,27 +252,27 @@
         self.forwarder.snapshot = dataclasses.replace(self.forwarder.snapshot,
                                                       entries=entries)
         self._forward()
-        self.assertEqual(self.forwarder.pools[self.before.id].rules.most, 3)
+        self.assertEqual(self.forwarder.pools[self.old_owner.id].rules.most, 3)
 
-    def test_an_owner_that_stays_is_asked_again(self):
+    def test_a_rejecting_owner_is_retried(self):
         outcome = self._forward()
         self.assertIsInstance(outcome, outcomes.NotRun)
-        self.assertGreaterEqual(self.before.arrivals, 2)
-        self.assertFalse(self.before.journal)
+        self.assertGreaterEqual(self.old_owner.arrivals, 2)
+        self.assertFalse(self.old_owner.journal)
 
 
-class SlowOnceTest(KeyCase):
-    """A service whose mean time of work was above a route's limit once.
+class SlowOnceTest(ForwardingTestCase):
+    """A service whose mean processing time once exceeded a route's limit.
 
-    All requests of the route are refused, so nothing tells that it is well.
+    All requests of the route are refused then, so no answer can lower the mean.
     """
 
     def test_it_is_tried_again(self):
-        self._publish(self.after.id)
-        self.forwarder.server_states[self.after.id] = placement.ServerState(
+        self._publish(self.new_owner.id)
+        self.forwarder.server_states[self.new_owner.id] = placement.ServerState(
             work_ms=4_000.0, answer_count=100)
-        until = time.monotonic() + 3.0
-        while time.monotonic() < until:
+        deadline = time.monotonic() + 3.0
+        while time.monotonic() < deadline:
             if isinstance(self._forward(), tries.Answer):
                 return
             time.sleep(0.05)
