--- a/tests/test_edge_listening.py
+++ b/tests/test_edge_listening.py
@@ -1,4 +1,4 @@
-"""Threads that answer callers and other entries."""
+"""Tests of the threads that answer callers and other entries."""
 
 import threading
 import unittest
@@ -8,75 +8,79 @@
 from lentilmoor.edge import listening
 
 
-class ThreadsTest(unittest.TestCase):
-    """98 threads an entry were more than 195 entries need, or a start bears."""
+class WorkerPoolTest(unittest.TestCase):
+    """Threads are started on demand, up to a maximum.
+
+    A fixed 98 threads per entry was more than the entries of a fleet of 195
+    need, and more than an entry can start in time.
+    """
 
     def setUp(self):
         super().setUp()
-        self.expected = 0
-        self.inside = 0
-        self.most = 0
+        self.expected_in_flight = 0
+        self.in_flight = 0
+        self.max_in_flight = 0
         self.lock = threading.Lock()
-        self.released = threading.Event()
-        gateway = listening.make_page_gateway({'/wait': self._wait},
+        self.may_finish = threading.Event()
+        gateway = listening.make_page_gateway({'/wait': self._block},
                                               clocks.make_suspend_clock())
         self.listener = listening.make_listener('127.0.0.1:0', gateway, (2, 12),
                                                 lambda *_, **__: None)
         self.listener.prepare()
         threading.Thread(target=self.listener.serve, daemon=True).start()
         self.addCleanup(self.listener.stop)
-        self.addCleanup(self.released.set)
-        self.full = threading.Event()
+        self.addCleanup(self.may_finish.set)
+        self.all_arrived = threading.Event()
 
-    def _wait(self, unused_body):
+    def _block(self, unused_body):
         with self.lock:
-            self.inside += 1
-            self.most = max(self.most, self.inside)
-            if self.inside >= self.expected:
-                self.full.set()
-        self.released.wait(10.0)
+            self.in_flight += 1
+            self.max_in_flight = max(self.max_in_flight, self.in_flight)
+            if self.in_flight >= self.expected_in_flight:
+                self.all_arrived.set()
+        self.may_finish.wait(10.0)
         with self.lock:
-            self.inside -= 1
+            self.in_flight -= 1
         return 200, b'', 'text/plain'
 
-    def _ask(self, count):
+    def _send_requests(self, count):
         host, port = self.listener.bind_addr
 
-        def ask():
+        def send_request():
             with urllib.request.urlopen(f'http://{host}:{port}/wait',
                                         timeout=10) as reply:
                 reply.read()
 
-        threads = [threading.Thread(target=ask) for _ in range(count)]
+        threads = [threading.Thread(target=send_request) for _ in range(count)]
         for thread in threads:
             thread.start()
         return threads
 
-    def test_more_are_started_when_all_are_busy(self):
-        self.expected = 12
-        threads = self._ask(12)
-        # All at once are answered, though none of them ends.
-        self.assertTrue(self.full.wait(3.0), self.most)
-        self.released.set()
+    def test_starts_threads_when_all_are_busy(self):
+        self.expected_in_flight = 12
+        threads = self._send_requests(12)
+        # All requests are in progress at once, as none of them ends yet.
+        self.assertTrue(self.all_arrived.wait(3.0), self.max_in_flight)
+        self.may_finish.set()
         for thread in threads:
             thread.join(5.0)
 
-    def test_there_is_a_limit(self):
-        self.expected = 13
-        threads = self._ask(20)
-        self.assertFalse(self.full.wait(1.0))
-        self.released.set()
+    def test_starts_no_more_than_max_threads(self):
+        self.expected_in_flight = 13
+        threads = self._send_requests(20)
+        self.assertFalse(self.all_arrived.wait(1.0))
+        self.may_finish.set()
         for thread in threads:
             thread.join(5.0)
-        self.assertEqual(self.most, 12)
+        self.assertEqual(self.max_in_flight, 12)
 
-    def test_few_are_there_while_few_are_needed(self):
-        self.expected = 1
-        before = threading.active_count()
-        threads = self._ask(1)
-        self.assertTrue(self.full.wait(3.0))
-        self.assertLessEqual(threading.active_count(), before + 2)
-        self.released.set()
+    def test_starts_no_extra_threads_for_one_request(self):
+        self.expected_in_flight = 1
+        threads_before = threading.active_count()
+        threads = self._send_requests(1)
+        self.assertTrue(self.all_arrived.wait(3.0))
+        self.assertLessEqual(threading.active_count(), threads_before + 2)
+        self.may_finish.set()
         threads[0].join(5.0)
 
 
