--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -113,7 +113,7 @@
     Attributes:
       ANSWER: The server's connection became readable.
       GONE: The caller disconnected.
-      TIMEOUT: Neither did anything in time.
+      TIMEOUT: None of the others happened in time.
       TALKS: The caller sent more data, such as its next request.
     """
 
@@ -132,7 +132,7 @@
 
     def wait_for_event(self, server_socket: socket.socket,
                        timeout_ms: float) -> Event:
-        """Waits until the server's socket is readable or the caller left.
+        """Waits for the server's answer or for the caller to disconnect.
 
         Args:
           server_socket: The socket of the connection to the server.
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -357,15 +357,15 @@
         pool = forwarder.pools.get(server.id)
         if pool is None:
             pool = connections.Pool(server.address,
-                                    _find_connection_rules(forwarder, service),
+                                    _find_pool_limits(forwarder, service),
                                     forwarder.clock)
             forwarder.pools[server.id] = pool
         return state, pool
 
 
-def _find_connection_rules(forwarder: requests.Forwarder,
-                           service: tables.Service) -> connections.Rules:
-    """Returns the rules of connections to a server of a service.
+def _find_pool_limits(forwarder: requests.Forwarder,
+                      service: tables.Service) -> connections.Rules:
+    """Returns the limits of the connection pool for a server of a service.
 
     The entries share the connections that a server accepts, as it resets those
     beyond its limit: with 60 entries that kept up to 12 each, servers reset 237
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -295,7 +295,7 @@
                    outcome: requests.Outcome) -> None:
     if isinstance(outcome, exchange.CallerDisconnected):
         request.close_connection = True
-        request.sent_headers = True  # Suppresses the answer.
+        request.sent_headers = True  # No answer is sent, as nobody reads it.
     elif isinstance(outcome, tries.Answer):
         responses.write_answer(request, parsed_request.fields.request_id,
                                outcome)
