--- a/lentilmoor/edge/attemptresults.py
+++ b/lentilmoor/edge/attemptresults.py
@@ -53,7 +53,7 @@
 
 def handle_answer(forwarder: requests.Forwarder, run: requests.Run,
                   server: tables.Server, state: placement.ServerState,
-                  reply: exchange.Reply,
+                  reply: exchange.ServerAnswer,
                   took_ms: float) -> requests.Outcome | None:
     """Records a server's response.
 
@@ -63,7 +63,7 @@
     now = forwarder.clock.now()
     status, fields = reply.answer.status, reply.fields
     state.answered_at = now
-    suspects.note_answer(forwarder, run, server, reply.opened_at,
+    suspects.note_answer(forwarder, run, server, reply.connection_opened_at,
                          fields.has_proof and not fields.not_run)
     ratelimits.note_answer(forwarder.rate_limits, server.id, fields.rate_limit,
                            now, forwarder.logger)
@@ -141,7 +141,7 @@
     outcome is a server's error response if there was one, otherwise unknown.
     """
     if refusal.reason is _Reason.CANCELLED:
-        return exchange.Gone(refusal.detail)
+        return exchange.CallerDisconnected(refusal.detail)
     if run.last_failure is not None:
         return run.last_failure
     if run.may_have_run and not run.idempotent:
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -1,4 +1,4 @@
-"""HTTP towards callers, the balancer and the other entries, by cheroot."""
+"""HTTP servers for callers, the load balancer and other entries, on cheroot."""
 
 from collections.abc import Callable
 import logging
@@ -21,67 +21,70 @@
 from lentilmoor.edge import requests
 from lentilmoor.edge import sockets
 
-# Kept on top of the time that callers may reuse an idle connection: the
-# library measures idle time by the time of day, which may jump by seconds.
-IDLE_SLACK_S = 5.0
+# Added to the time for which callers may reuse an idle connection, as cheroot
+# measures idle time by the wall clock, which may jump by seconds.
+IDLE_TIMEOUT_MARGIN_S = 5.0
 
 _Reason = outcomes.Reason
-_CHUNK_BYTES = 64 * 1024
-# Started beyond what is lacking: where all are busy, more requests come.
-SPARE_THREADS = 4
+_READ_BLOCK_BYTES = 64 * 1024
+# Threads started in addition to the missing ones, as more requests are likely
+# to follow when all threads are busy.
+EXTRA_THREADS = 4
 
-Forward = Callable[[requests.Request], requests.Outcome]
-Note = Callable[[requests.Request, requests.Outcome], None]
-Page = Callable[[bytes], tuple[int, bytes, str]]
-"""(body) -> status, body and content type of a page."""
-NoteWrite = Callable[[str, int, float], None]
-"""(address of who asked, bytes, ms) takes in how long a page took to write."""
+ForwardRequest = Callable[[requests.Request], requests.Outcome]
+RecordOutcome = Callable[[requests.Request, requests.Outcome], None]
+PageHandler = Callable[[bytes], tuple[int, bytes, str]]
+"""Called with the request's body; returns status, body and content type."""
+RecordWrite = Callable[[str, int, float], None]
+"""Called with the client's address, the page's bytes and the write's ms."""
 
 
-class Pool(threadpool.ThreadPool):
+class WorkerPool(threadpool.ThreadPool):
     """Threads that answer requests; more are started when all are busy.
 
-    Most entries need a few, and each takes memory and a part of a start.
+    Most entries need only a few, and each thread takes memory and prolongs the
+    start.
     """
 
-    def __init__(self, server: cheroot_server.HTTPServer, least: int,
-                 most: int):
-        super().__init__(server, min=least, max=most)
-        self._growing = threading.Lock()
+    def __init__(self, server: cheroot_server.HTTPServer, min_threads: int,
+                 max_threads: int):
+        super().__init__(server, min=min_threads, max=max_threads)
+        self._grow_lock = threading.Lock()
 
     def put(self, obj) -> None:
-        """Hands over a connection on which a request has come."""
+        """Queues a connection on which a request has arrived."""
         super().put(obj)
-        if self._count_lacking() > 0 and len(self._threads) < self.max:
-            # The library waits until a new thread runs; who accepts
-            # connections must not.
-            threading.Thread(target=self._add_lacking, daemon=True).start()
+        if self._count_missing_threads() > 0 and len(self._threads) < self.max:
+            # `grow` blocks until a new thread runs, which must not delay the
+            # thread that accepts connections.
+            threading.Thread(target=self._add_missing_threads,
+                             daemon=True).start()
 
-    def _count_lacking(self) -> int:
+    def _count_missing_threads(self) -> int:
         return self._queue.qsize() - self.idle
 
-    def _add_lacking(self) -> None:
-        with self._growing:
-            lacking = self._count_lacking()
-            if lacking > 0:
-                self.grow(lacking + SPARE_THREADS)
+    def _add_missing_threads(self) -> None:
+        with self._grow_lock:
+            missing_threads = self._count_missing_threads()
+            if missing_threads > 0:
+                self.grow(missing_threads + EXTRA_THREADS)
 
 
 class Listener(cheroot_server.HTTPServer):
-    """A server that may be handed a socket that listens already.
+    """An HTTP server that can use a socket that is already listening.
 
     Attributes:
-      opened: That socket; None to open one.
+      listening_socket: That socket; None to open one.
     """
 
-    opened: socket.socket | None = None
+    listening_socket: socket.socket | None = None
 
     def bind(self, family, type, proto=0):  # pylint: disable=redefined-builtin
-        """Takes the socket that was handed over, or opens one."""
-        if self.opened is None:
+        """Uses `listening_socket`, or opens a socket if it is None."""
+        if self.listening_socket is None:
             return super().bind(family, type, proto)
         # pylint: disable-next=attribute-defined-outside-init
-        self.socket = self.opened
+        self.socket = self.listening_socket
         self.bind_addr = self.resolve_real_bind_addr(self.socket)
         return self.socket
 
@@ -89,26 +92,26 @@
 def make_listener(address: str, gateway: type[cheroot_server.Gateway],
                   threads: tuple[int, int],
                   log_error: Callable[..., None]) -> Listener:
-    """Returns a server that hands each request to a gateway.
+    """Returns a server that passes each request to a gateway.
 
     Args:
       address: host:port.
       gateway: Answers requests.
-      threads: Requests answered at once: without starting more threads, and at
-        most.
-      log_error: Takes the library's errors.
+      threads: Minimum and maximum number of threads, each of which answers one
+        request at a time.
+      log_error: Called with cheroot's error messages.
     """
     host, _, port = address.rpartition(':')
-    server = Listener((host, int(port)), gateway, server_name='lentilmoor')
-    server.requests = Pool(server, *threads)
-    server.request_queue_size = sockets.BACKLOG
-    server.keep_alive_conn_limit = None
-    server.error_log = log_error
-    return server
+    listener = Listener((host, int(port)), gateway, server_name='lentilmoor')
+    listener.requests = WorkerPool(listener, *threads)
+    listener.request_queue_size = sockets.BACKLOG
+    listener.keep_alive_conn_limit = None
+    listener.error_log = log_error
+    return listener
 
 
 def make_error_log(logger) -> Callable[..., None]:
-    """Returns what takes the library's errors."""
+    """Returns a function that logs cheroot's errors."""
 
     def log_error(message: str = '',
                   level: int = logging.INFO,
@@ -119,154 +122,161 @@
     return log_error
 
 
-def make_caller_gateway(dialect: ports.HeaderFormat, forward: Forward,
-                        note: Note, count: shutdowns.RequestCount,
-                        limit: Callable[[], int],
+def make_caller_gateway(header_format: ports.HeaderFormat,
+                        forward: ForwardRequest, record_outcome: RecordOutcome,
+                        request_count: shutdowns.RequestCount,
+                        find_max_body_bytes: Callable[[], int],
                         clock: clocks.Clock) -> type[cheroot_server.Gateway]:
     """Returns the gateway class for callers.
 
     Args:
-      dialect: Reads callers' headers.
-      forward: Carries a request to its outcome.
-      note: Told of each outcome.
-      count: Counts requests; tells whether connections are to be closed.
-      limit: Returns how long a body may be.
-      clock: Time.
+      header_format: Parses callers' headers.
+      forward: Forwards a request and returns its outcome.
+      record_outcome: Called with each request and its outcome.
+      request_count: Counts the requests in flight; says whether the process is
+        shutting down, so that connections must be closed.
+      find_max_body_bytes: Returns the size limit of a request's body.
+      clock: The clock of a request's arrival time.
     """
 
     class CallerGateway(cheroot_server.Gateway):
         """Answers one request of a caller."""
 
         def respond(self) -> None:
-            """Reads the request, carries it and writes its outcome."""
-            count.enter()
+            """Reads the request, forwards it and writes its outcome."""
+            request_count.enter()
             try:
-                request = _read_request(self.req, dialect, limit(), clock)
+                request = _read_request(self.req, header_format,
+                                        find_max_body_bytes(), clock)
                 if isinstance(request, outcomes.NotRun):
                     self.req.close_connection = True
-                    _refuse(self.req, request)
+                    _write_problem(self.req, request)
                     return
                 outcome = forward(request)
-                note(request, outcome)
-                # Set last: a shutdown may have begun meanwhile.
-                self.req.close_connection |= count.closing
-                _write(self.req, request, outcome)
+                record_outcome(request, outcome)
+                # Read after forwarding, as a shutdown may have begun meanwhile.
+                self.req.close_connection |= request_count.closing
+                _write_outcome(self.req, request, outcome)
             finally:
-                count.leave()
+                request_count.leave()
 
     return CallerGateway
 
 
 def make_page_gateway(
-        pages: dict[str, Page],
+        pages: dict[str, PageHandler],
         clock: clocks.Clock,
-        note_write: NoteWrite | None = None,
-        write_ms: float | None = None) -> type[cheroot_server.Gateway]:
-    """Returns a gateway class for small pages by path.
+        record_write: RecordWrite | None = None,
+        write_timeout_ms: float | None = None) -> type[cheroot_server.Gateway]:
+    """Returns a gateway class that serves small pages.
 
     Args:
-      pages: By path.
-      clock: Time.
-      note_write: Told how long each page took to write, if given.
-      write_ms: A reader that takes nothing for so long is given up; the
-        library's time if None.
+      pages: Handlers by path; other paths get status 404.
+      clock: Measures the duration of writes.
+      record_write: Called with the duration of each page's write, if given.
+      write_timeout_ms: Time after which a write to a client that reads nothing
+        is aborted; cheroot's timeout if None.
     """
 
     class PageGateway(cheroot_server.Gateway):
         """Answers one request for a page."""
 
         def respond(self) -> None:
-            """Writes the page."""
-            page = pages.get(self.req.path.decode('latin-1'))
-            status, body, kind = 404, b'', 'text/plain'
-            if page is not None:
+            """Writes the page of the request's path."""
+            handler = pages.get(self.req.path.decode('latin-1'))
+            status, body, content_type = 404, b'', 'text/plain'
+            if handler is not None:
                 length = int(self.req.inheaders.get(b'Content-Length', 0))
-                status, body, kind = page(
+                status, body, content_type = handler(
                     self.req.rfile.read(length) if length else b'')
-            if write_ms is not None:
-                self.req.conn.socket.settimeout(write_ms / clocks.MS_PER_S)
-            began = clock.now()
+            if write_timeout_ms is not None:
+                self.req.conn.socket.settimeout(write_timeout_ms /
+                                                clocks.MS_PER_S)
+            started_at = clock.now()
             try:
                 responses.write_problem(
                     self.req,
                     problems.Problem(status,
-                                     (('Content-Type', kind),
+                                     (('Content-Type', content_type),
                                       ('Content-Length', str(len(body)))),
                                      body))
             finally:
-                if note_write is not None:
-                    note_write(self.req.conn.remote_addr, len(body),
-                               clock.now() - began)
+                if record_write is not None:
+                    record_write(self.req.conn.remote_addr, len(body),
+                                 clock.now() - started_at)
             self.req.conn.socket.settimeout(self.req.server.timeout)
 
     return PageGateway
 
 
 def _read_request(request: cheroot_server.HTTPRequest,
-                  dialect: ports.HeaderFormat, limit: int,
+                  header_format: ports.HeaderFormat, max_bytes: int,
                   clock: clocks.Clock) -> requests.Request | outcomes.NotRun:
     arrived_at = clock.now()
-    body = _read_body(request, limit)
+    body = _read_body(request, max_bytes)
     if isinstance(body, outcomes.NotRun):
         return body
     path, _, _ = request.uri.partition(b'?')
     return requests.Request(
-        fields=dialect.parse_caller_headers(request.inheaders),
+        fields=header_format.parse_caller_headers(request.inheaders),
         method=request.method.decode('latin-1'),
         host=request.inheaders.get(b'Host', b'').decode('latin-1'),
         path=path.decode('latin-1'),
         target=request.uri.decode('latin-1'),
-        headers=_copy_headers(request, dialect, body),
+        headers=_copy_headers(request, header_format, body),
         body=body,
         watch=exchange.CallerWatch(request.conn.socket),
         arrived_at=arrived_at)
 
 
 def _read_body(request: cheroot_server.HTTPRequest,
-               limit: int) -> bytes | outcomes.NotRun:
-    length = _find_length(request)
+               max_bytes: int) -> bytes | outcomes.NotRun:
+    length = _find_declared_length(request)
     if isinstance(length, outcomes.NotRun):
         return length
     if length == 0:
         return b''
-    parts, size = [], 0
+    blocks, byte_count = [], 0
     try:
-        while part := request.rfile.read(_CHUNK_BYTES):
-            parts.append(part)
-            size += len(part)
-            if size > limit:
+        while block := request.rfile.read(_READ_BLOCK_BYTES):
+            blocks.append(block)
+            byte_count += len(block)
+            if byte_count > max_bytes:
                 return outcomes.NotRun(_Reason.BODY_TOO_LARGE,
-                                       f'expected at most {limit} bytes')
+                                       f'expected at most {max_bytes} bytes')
     except (OSError, ValueError) as error:
         return outcomes.NotRun(_Reason.BAD_REQUEST, str(error))
-    if length is not None and size != length:
-        return outcomes.NotRun(_Reason.BAD_REQUEST, 'the body ended early')
-    return b''.join(parts)
+    if length is not None and byte_count != length:
+        return outcomes.NotRun(_Reason.BAD_REQUEST,
+                               'the body is shorter than its Content-Length')
+    return b''.join(blocks)
 
 
-def _find_length(
+def _find_declared_length(
         request: cheroot_server.HTTPRequest) -> int | None | outcomes.NotRun:
-    """Returns the declared length of a body; None if it comes in chunks."""
+    """Returns the declared length of a body; None if it is chunked."""
     if not request.chunked_read:
         length = int(request.inheaders.get(b'Content-Length', 0))
         if length < 0:
-            return outcomes.NotRun(_Reason.BAD_REQUEST, 'a length below 0')
+            return outcomes.NotRun(_Reason.BAD_REQUEST,
+                                   'negative Content-Length')
         return length
     request.rfile = chunks.ChunkedBody(request.conn.rfile)
     if b'Content-Length' in request.inheaders:
         return outcomes.NotRun(_Reason.BAD_REQUEST,
-                               'a length beside a chunked body')
+                               'Content-Length with a chunked body')
     return None
 
 
 def _copy_headers(request: cheroot_server.HTTPRequest,
-                  dialect: ports.HeaderFormat, body: bytes) -> dict[str, str]:
-    dropped = dialect.dropped_headers
-    listed = request.inheaders.get(b'Connection')
-    if listed:
+                  header_format: ports.HeaderFormat,
+                  body: bytes) -> dict[str, str]:
+    dropped = header_format.dropped_headers
+    connection_options = request.inheaders.get(b'Connection')
+    if connection_options:
         dropped = dropped | frozenset(
             name.strip().lower()
-            for name in listed.decode('latin-1').split(','))
+            for name in connection_options.decode('latin-1').split(','))
     headers = {}
     for name, value in request.inheaders.items():
         text = name.decode('latin-1')
@@ -275,23 +285,26 @@
     if body or request.chunked_read or b'Content-Length' in request.inheaders:
         headers['Content-Length'] = str(len(body))
     for name in ('User-Agent', 'Accept-Encoding'):
-        # The library would add its own, which would speak for the caller.
+        # Otherwise urllib3 adds its own value, which the caller didn't send.
         headers.setdefault(name, util.SKIP_HEADER)
     return headers
 
 
-def _write(request: cheroot_server.HTTPRequest, call: requests.Request,
-           outcome: requests.Outcome) -> None:
-    if isinstance(outcome, exchange.Gone):
+def _write_outcome(request: cheroot_server.HTTPRequest,
+                   parsed_request: requests.Request,
+                   outcome: requests.Outcome) -> None:
+    if isinstance(outcome, exchange.CallerDisconnected):
         request.close_connection = True
-        request.sent_headers = True  # Nobody reads an answer.
+        request.sent_headers = True  # No answer is sent, as nobody reads it.
     elif isinstance(outcome, tries.Answer):
-        responses.write_answer(request, call.fields.request_id, outcome)
+        responses.write_answer(request, parsed_request.fields.request_id,
+                               outcome)
     else:
-        _refuse(request, outcome)
+        _write_problem(request, outcome)
 
 
-def _refuse(request: cheroot_server.HTTPRequest,
-            outcome: outcomes.NotRun | outcomes.Unknown) -> None:
-    responses.write_problem(request,
-                            problems.make(outcome, exact=True, retryable=True))
+def _write_problem(request: cheroot_server.HTTPRequest,
+                   outcome: outcomes.NotRun | outcomes.Unknown) -> None:
+    responses.write_problem(
+        request,
+        problems.make(outcome, fractional_seconds=True, invite_retries=True))
--- a/lentilmoor/edge/selection.py
+++ b/lentilmoor/edge/selection.py
@@ -208,7 +208,7 @@
             return outcomes.NotRun(_Reason.NO_OWNER,
                                    'the key has no usable owner',
                                    OWNER_RETRY_MS)
-        if run.request.watch.is_gone():
+        if run.request.watch.is_disconnected():
             return outcomes.NotRun(
                 _Reason.CANCELLED,
                 f'cancelled while waiting for an owner of key {key}; '
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -363,8 +363,8 @@
 
     def test_a_connection_opened_by_a_check_is_reused(self):
         _, pool = self._add_server(True)
-        self.assertIsNone(exchange.check(pool, 100.0))
-        self.assertIsNone(exchange.check(pool, 100.0))
+        self.assertIsNone(exchange.try_connect(pool, 100.0))
+        self.assertIsNone(exchange.try_connect(pool, 100.0))
         self.assertEqual(pool.row.opened, 2)
         taken = pool.take(True, False, 100.0)
         self.assertEqual(pool.row.opened, 2)
