--- a/lentilmoor/connections.py
+++ b/lentilmoor/connections.py
@@ -96,7 +96,7 @@
       answered_at: When its last whole answer was read.
       taken_at: When it was last taken for a request.
       uses: Requests it has carried.
-      kept_ms: How long the server keeps it without a request.
+      keep_alive_ms: How long the server keeps it without a request.
     """
 
     http: http_connection.HTTPConnection
@@ -104,7 +104,7 @@
     answered_at: float = _NEVER
     taken_at: float = _NEVER
     uses: int = 0
-    kept_ms: float = float('inf')
+    keep_alive_ms: float = float('inf')
 
     @property
     def reused(self) -> bool:
@@ -129,7 +129,7 @@
     if connection.answered_at <= row.doubted_before:
         return False
     idle_ms = now - connection.answered_at
-    if idle_ms > connection.kept_ms - KEPT_MARGIN_MS:
+    if idle_ms > connection.keep_alive_ms - KEPT_MARGIN_MS:
         return False
     return idle_ms <= (rules.idle_ms if repeatable else rules.proven_ms)
 
