--- a/lentilmoor/adapters.py
+++ b/lentilmoor/adapters.py
@@ -43,7 +43,7 @@
 class Pools:
     """Pools of connections by address, made on first use."""
 
-    def __init__(self, rules: connections.Rules, clock: clocks.Clock):
+    def __init__(self, rules: connections.PoolLimits, clock: clocks.Clock):
         self._rules = rules
         self._clock = clock
         self._rows: dict[str, connections.Pool] = {}
--- a/lentilmoor/connections.py
+++ b/lentilmoor/connections.py
@@ -29,27 +29,28 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Rules:
-    """Limits on the connections of this entry to one server.
+class PoolLimits:
+    """Limits of a pool of connections to one server.
 
     Attributes:
-      most: Connections open at once.
-      idle_ms: A connection unused for so long is closed.
-      proven_ms: A request that may not be repeated takes a connection only if
-        it answered so lately.
-      silence_ms: How long a used connection may take to begin an answer to a
-        request that may be repeated.
-      connect_ms: How long opening may take.
-      opens_per_s: Connections opened a second, after a first burst.
+      max_open: Connections that may be open at once.
+      max_idle_ms: A connection that was unused for longer is closed.
+      non_idempotent_idle_ms: A request that is not idempotent reuses only a
+        connection that was unused for at most this time.
+      reused_response_timeout_ms: Timeout for the start of the answer to an
+        idempotent request on a reused connection.
+      connect_timeout_ms: Timeout for opening a connection.
+      opens_per_s: Connections opened per second, after a first burst.
       burst: Size of that burst.
-      socket_options: Set on each connection; the library's own if empty.
+      socket_options: Socket options of each connection; urllib3's defaults if
+        empty.
     """
 
-    most: int = 8
-    idle_ms: float = 15_000.0
-    proven_ms: float = 1_000.0
-    silence_ms: float = 250.0
-    connect_ms: float = 250.0
+    max_open: int = 8
+    max_idle_ms: float = 15_000.0
+    non_idempotent_idle_ms: float = 1_000.0
+    reused_response_timeout_ms: float = 250.0
+    connect_timeout_ms: float = 250.0
     opens_per_s: float = 20.0
     burst: float = 8.0
     socket_options: tuple = ()
@@ -123,7 +124,7 @@
     return max(1, int(usable / max(1, entries)))
 
 
-def may_reuse(rules: Rules, row: PoolRow, connection: Connection,
+def may_reuse(rules: PoolLimits, row: PoolRow, connection: Connection,
               repeatable: bool, now: float) -> bool:
     """Returns whether a request may go on a connection that is open."""
     if connection.answered_at <= row.doubted_before:
@@ -131,16 +132,17 @@
     idle_ms = now - connection.answered_at
     if idle_ms > connection.keep_alive_ms - KEPT_MARGIN_MS:
         return False
-    return idle_ms <= (rules.idle_ms if repeatable else rules.proven_ms)
+    return idle_ms <= (rules.max_idle_ms
+                       if repeatable else rules.non_idempotent_idle_ms)
 
 
-def is_worn(rules: Rules, row: PoolRow, connection: Connection,
+def is_worn(rules: PoolLimits, row: PoolRow, connection: Connection,
             now: float) -> bool:
     """Returns whether a connection is to be closed, whoever asks for it."""
     return not may_reuse(rules, row, connection, True, now)
 
 
-def find_wait(rules: Rules, row: PoolRow, now: float) -> float:
+def find_wait(rules: PoolLimits, row: PoolRow, now: float) -> float:
     """Returns how long to wait before a connection may be opened, ms.
 
     Args:
@@ -161,7 +163,7 @@
     return row.failed_at > row.opened_at
 
 
-def find_timeout(rules: Rules, connection: Connection, repeatable: bool,
+def find_timeout(rules: PoolLimits, connection: Connection, repeatable: bool,
                  remaining_ms: float) -> float:
     """Returns how long to wait for the begin of an answer, ms.
 
@@ -170,7 +172,7 @@
     of the deadline on the fresh connection.
     """
     if repeatable and connection.reused:
-        return min(rules.silence_ms, remaining_ms)
+        return min(rules.reused_response_timeout_ms, remaining_ms)
     return remaining_ms
 
 
@@ -192,7 +194,7 @@
       row: State and counters.
     """
 
-    def __init__(self, address: str, rules: Rules, clock: clocks.Clock):
+    def __init__(self, address: str, rules: PoolLimits, clock: clocks.Clock):
         host, _, port = address.rpartition(':')
         self._host = host.strip('[]')
         self._port = int(port)
@@ -292,7 +294,7 @@
         """Takes a token and a place for a new connection, if there are."""
         if find_wait(self.rules, self.row, self._clock.now()) > 0:
             return False
-        if self.row.open >= self.rules.most:
+        if self.row.open >= self.rules.max_open:
             if not self._idle:
                 return False
             self._close(self._idle.popleft())
@@ -307,7 +309,7 @@
         self.row.held += 1
         # While new connections fail, one in use may still be put back.
         hopeless = fresh or not self.row.open
-        late = now >= began_at + self.rules.connect_ms
+        late = now >= began_at + self.rules.connect_timeout_ms
         if is_failing(self.row) and (hopeless or late):
             return outcomes.Failed(outcomes.Reason.NO_SERVER,
                                    'new connections fail, none is tried now')
@@ -316,14 +318,16 @@
                                    'all connections to the server are in use')
         wait_ms = until - now
         if is_failing(self.row):
-            wait_ms = min(wait_ms, began_at + self.rules.connect_ms - now)
-        if self.row.open < self.rules.most:
+            wait_ms = min(wait_ms,
+                          began_at + self.rules.connect_timeout_ms - now)
+        if self.row.open < self.rules.max_open:
             wait_ms = min(wait_ms, find_wait(self.rules, self.row, now))
         self._changed.wait(wait_ms / clocks.MS_PER_S)
         return None
 
     def _open(self, until: float) -> Connection | outcomes.Failed:
-        patience_ms = min(self.rules.connect_ms, until - self._clock.now())
+        patience_ms = min(self.rules.connect_timeout_ms,
+                          until - self._clock.now())
         options = self.rules.socket_options
         http = http_connection.HTTPConnection(self._host,
                                               self._port,
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -144,13 +144,13 @@
 def _make_entry(platform: ports.Platform, instance: str, clock: clocks.Clock,
                 logger: logs.Logger, socket_options: tuple,
                 started_at: float) -> Entry:
-    rules = connections.Rules(most=12,
-                              idle_ms=8_000.0,
-                              proven_ms=8_000.0,
-                              connect_ms=250.0,
-                              opens_per_s=40.0,
-                              burst=12.0,
-                              socket_options=socket_options)
+    rules = connections.PoolLimits(max_open=12,
+                                   max_idle_ms=8_000.0,
+                                   non_idempotent_idle_ms=8_000.0,
+                                   connect_timeout_ms=250.0,
+                                   opens_per_s=40.0,
+                                   burst=12.0,
+                                   socket_options=socket_options)
     first = platform.settings.first_start
     forwarder = requests.Forwarder(
         clock,
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -351,7 +351,7 @@
 
 
 def _find_rules(forwarder: requests.Forwarder,
-                service: tables.Service) -> connections.Rules:
+                service: tables.Service) -> connections.PoolLimits:
     """Returns the rules of connections to a server of a service.
 
     Servers reset what is beyond their limit: 237 connections on a day of 60
@@ -361,7 +361,7 @@
     entries = {peer.address for peer in forwarder.snapshot.entries.values()}
     share = connections.share_connections(service.max_connections, len(entries))
     return dataclasses.replace(forwarder.rules,
-                               most=min(forwarder.rules.most, share))
+                               max_open=min(forwarder.rules.max_open, share))
 
 
 def _budget_of(forwarder: requests.Forwarder,
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -119,7 +119,7 @@
     clock: clocks.Clock
     platform: ports.Platform
     logger: object
-    rules: connections.Rules
+    rules: connections.PoolLimits
     route_index: matching.RouteIndex = dataclasses.field(
         default_factory=lambda: matching.make_index({}))
     snapshot: tables.RoutingSnapshot = dataclasses.field(
--- a/lentilmoor/tries.py
+++ b/lentilmoor/tries.py
@@ -137,7 +137,7 @@
     return _read_start(pool, taken, response, order.method)
 
 
-def _send(rules: connections.Rules, taken: connections.Connection,
+def _send(rules: connections.PoolLimits, taken: connections.Connection,
           order: Order) -> urllib3.HTTPResponse:
     wait_ms = connections.find_timeout(rules, taken, order.repeatable,
                                        order.remaining_ms)
--- a/lentilmoor/wirings.py
+++ b/lentilmoor/wirings.py
@@ -53,10 +53,10 @@
 def make_wiring(entry: entries.Entry) -> runs.Wiring:
     """Returns what the request path calls."""
     base = entry.base
-    pools = adapters.Pools(connections.Rules(), base.clock)
+    pools = adapters.Pools(connections.PoolLimits(), base.clock)
     relays = adapters.Pools(
-        connections.Rules(most=base.settings.relay_threads, **RELAY_OPENS),
-        base.clock)
+        connections.PoolLimits(max_open=base.settings.relay_threads,
+                               **RELAY_OPENS), base.clock)
     settling = futures.ThreadPoolExecutor(SETTLE_THREADS, 'settling')
     lines = claiming.Lines(tell=entry.tell,
                            peers=lambda: entry.peers,
--- a/tests/pathhelp.py
+++ b/tests/pathhelp.py
@@ -265,7 +265,7 @@
               clock: clocks.Clock | None = None,
               **rules) -> connections.Pool:
     """Returns a pool of connections to an address."""
-    return connections.Pool(address, connections.Rules(**rules), clock or
+    return connections.Pool(address, connections.PoolLimits(**rules), clock or
                             clocks.Clock())
 
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -67,7 +67,7 @@
         self.pool = self._make_pool()
 
     def _make_pool(self, **limits):
-        rules = connections.Rules(**limits)
+        rules = connections.PoolLimits(**limits)
         pool = connections.Pool(self.server.address, rules, clocks.Clock())
         self.addCleanup(pool.close)
         return pool
@@ -126,7 +126,7 @@
     def test_server_without_room_is_still_reached_by_what_is_open(self):
         self.pool = self._make_pool(burst=2,
                                     opens_per_s=0.001,
-                                    connect_ms=60_000.0)
+                                    connect_timeout_ms=60_000.0)
         first = self._take()
         self._ask(first)  # It is accepted now.
         self.server.refuse()
@@ -143,7 +143,7 @@
         self.assertIs(hopeless.reason, outcomes.Reason.NO_SERVER)
 
     def test_number_of_connections_is_bounded(self):
-        self.pool = self._make_pool(most=2)
+        self.pool = self._make_pool(max_open=2)
         taken = [self._take(), self._take()]
         refused = self._take(patience_ms=1)
         self.assertIs(refused.reason, outcomes.Reason.OVERLOADED)
@@ -160,7 +160,7 @@
 
     def setUp(self):
         super().setUp()
-        self.rules = connections.Rules()
+        self.rules = connections.PoolLimits()
         self.row = connections.PoolRow()
 
     def test_unrepeatable_request_needs_a_connection_just_proven(self):
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -26,12 +26,12 @@
 from standins import platform_store
 
 _KEY = 7
-_RULES = connections.Rules(most=12,
-                           idle_ms=8_000.0,
-                           proven_ms=8_000.0,
-                           connect_ms=250.0,
-                           opens_per_s=40.0,
-                           burst=12.0)
+_RULES = connections.PoolLimits(max_open=12,
+                                max_idle_ms=8_000.0,
+                                non_idempotent_idle_ms=8_000.0,
+                                connect_timeout_ms=250.0,
+                                opens_per_s=40.0,
+                                burst=12.0)
 _BOUNDS = ports.Bounds(drain_ms=2_000.0,
                        grace_ms=6_000.0,
                        retry_ratio=0.2,
@@ -244,7 +244,7 @@
         self.forwarder.snapshot = dataclasses.replace(self.forwarder.snapshot,
                                                       entries=entries)
         self._forward()
-        self.assertEqual(self.forwarder.pools[self.before.id].rules.most, 3)
+        self.assertEqual(self.forwarder.pools[self.before.id].rules.max_open, 3)
 
     def test_an_owner_that_stays_is_asked_again(self):
         outcome = self._forward()
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -26,12 +26,12 @@
 _ROUTE = tables.Route('r', 'h', '/', tables.RepeatPolicy.IDEMPOTENT, False,
                       (tables.RouteTarget('orders', 1.0),), 3, 3_000.0, 500.0,
                       1)
-_RULES = connections.Rules(most=4,
-                           idle_ms=8_000.0,
-                           proven_ms=8_000.0,
-                           connect_ms=250.0,
-                           opens_per_s=40.0,
-                           burst=12.0)
+_RULES = connections.PoolLimits(max_open=4,
+                                max_idle_ms=8_000.0,
+                                non_idempotent_idle_ms=8_000.0,
+                                connect_timeout_ms=250.0,
+                                opens_per_s=40.0,
+                                burst=12.0)
 
 
 def _make_request(target: str) -> requests.Request:
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -40,7 +40,7 @@
     def _serve(self, *steps):
         server = pathhelp.ScriptedServer(*steps)
         self.addCleanup(server.close)
-        pool = pathhelp.make_pool(server.address, connect_ms=20_000.0)
+        pool = pathhelp.make_pool(server.address, connect_timeout_ms=20_000.0)
         self.addCleanup(pool.close)
         return server, pool
 
@@ -141,7 +141,7 @@
         self.addCleanup(serving.serve_in_thread(server))
         self.address = server.address
         self.send = adapters.make_send(
-            adapters.Pools(connections.Rules(), self.clock), self.clock)
+            adapters.Pools(connections.PoolLimits(), self.clock), self.clock)
 
     def _try(self, **fields):
         settings = pathhelp.make_settings()
