--- a/lentilmoor/connections.py
+++ b/lentilmoor/connections.py
@@ -57,34 +57,35 @@
 
 
 @dataclasses.dataclass(slots=True)
-class PoolRow:
-    """State of the connections to one server; times in ms.
+class PoolState:
+    """State and counters of a pool of connections; times in ms.
 
     Attributes:
-      open: Connections open or being opened.
+      open_count: Connections that are open or being opened.
       tokens: Connections that may be opened now.
-      tokens_at: When the tokens were last counted.
-      doubted_before: A connection that has not answered since is not used.
-      opened_at: When one was last opened.
-      failed_at: When opening one last failed.
-      opened: Connections opened so far.
-      failed: Failures to open one so far.
-      silent: Connections that went silent so far.
-      doubted: Connections closed because another went silent.
-      held: Requests that had to wait for, or went without, a connection.
+      tokens_updated_at: When `tokens` was last updated.
+      stale_before: A connection whose last answer is not later than this is
+        not used again.
+      last_opened_at: When a connection was last opened.
+      last_failed_at: When opening a connection last failed.
+      opened_count: Connections opened since the start.
+      failed_count: Failures to open a connection since the start.
+      timed_out_count: Connections that did not begin an answer in time.
+      stale_closed_count: Connections closed because another one timed out.
+      wait_count: Times that a request waited for a connection or got none.
     """
 
-    open: int = 0
+    open_count: int = 0
     tokens: float = 0.0
-    tokens_at: float = _NEVER
-    doubted_before: float = _NEVER
-    opened_at: float = _NEVER
-    failed_at: float = _NEVER
-    opened: int = 0
-    failed: int = 0
-    silent: int = 0
-    doubted: int = 0
-    held: int = 0
+    tokens_updated_at: float = _NEVER
+    stale_before: float = _NEVER
+    last_opened_at: float = _NEVER
+    last_failed_at: float = _NEVER
+    opened_count: int = 0
+    failed_count: int = 0
+    timed_out_count: int = 0
+    stale_closed_count: int = 0
+    wait_count: int = 0
 
 
 @dataclasses.dataclass(slots=True)
@@ -124,10 +125,10 @@
     return max(1, int(usable / max(1, entries)))
 
 
-def may_reuse(rules: PoolLimits, row: PoolRow, connection: Connection,
+def may_reuse(rules: PoolLimits, row: PoolState, connection: Connection,
               repeatable: bool, now: float) -> bool:
     """Returns whether a request may go on a connection that is open."""
-    if connection.answered_at <= row.doubted_before:
+    if connection.answered_at <= row.stale_before:
         return False
     idle_ms = now - connection.answered_at
     if idle_ms > connection.keep_alive_ms - KEPT_MARGIN_MS:
@@ -136,13 +137,13 @@
                        if repeatable else rules.non_idempotent_idle_ms)
 
 
-def is_worn(rules: PoolLimits, row: PoolRow, connection: Connection,
+def is_worn(rules: PoolLimits, row: PoolState, connection: Connection,
             now: float) -> bool:
     """Returns whether a connection is to be closed, whoever asks for it."""
     return not may_reuse(rules, row, connection, True, now)
 
 
-def find_wait(rules: PoolLimits, row: PoolRow, now: float) -> float:
+def find_wait(rules: PoolLimits, row: PoolState, now: float) -> float:
     """Returns how long to wait before a connection may be opened, ms.
 
     Args:
@@ -150,17 +151,17 @@
       row: The pool's state; its tokens are counted up to now.
       now: ms.
     """
-    earned = (now - row.tokens_at) * rules.opens_per_s / clocks.MS_PER_S
+    earned = (now - row.tokens_updated_at) * rules.opens_per_s / clocks.MS_PER_S
     row.tokens = min(rules.burst, row.tokens + earned)
-    row.tokens_at = now
+    row.tokens_updated_at = now
     if row.tokens >= 1:
         return 0.0
     return (1 - row.tokens) * clocks.MS_PER_S / rules.opens_per_s
 
 
-def is_failing(row: PoolRow) -> bool:
+def is_failing(row: PoolState) -> bool:
     """Returns whether the last attempt to open a connection failed."""
-    return row.failed_at > row.opened_at
+    return row.last_failed_at > row.last_opened_at
 
 
 def find_timeout(rules: PoolLimits, connection: Connection, repeatable: bool,
@@ -176,22 +177,22 @@
     return remaining_ms
 
 
-def note_silent(row: PoolRow, connection: Connection) -> None:
+def note_silent(row: PoolState, connection: Connection) -> None:
     """Notes that a connection brought no answer in time.
 
     Whatever lost track of it may have lost others: those that have not
     answered since it was taken are not used any more.
     """
-    row.silent += 1
-    row.doubted_before = max(row.doubted_before, connection.taken_at)
+    row.timed_out_count += 1
+    row.stale_before = max(row.stale_before, connection.taken_at)
 
 
 class Pool:
     """The connections of this entry to one server; for many threads.
 
     Attributes:
-      rules: Limits.
-      row: State and counters.
+      limits: Limits of the pool.
+      state: State and counters.
     """
 
     def __init__(self, address: str, rules: PoolLimits, clock: clocks.Clock):
@@ -201,8 +202,8 @@
         self._clock = clock
         self._idle: collections.deque[Connection] = collections.deque()
         self._changed = threading.Condition()
-        self.rules = rules
-        self.row = PoolRow()
+        self.limits = rules
+        self.state = PoolState()
 
     def take(self, repeatable: bool, fresh: bool,
              patience_ms: float) -> Connection | outcomes.Failed:
@@ -239,7 +240,7 @@
         """Keeps a connection whose whole answer was read."""
         connection.answered_at = self._clock.now()
         with self._changed:
-            if is_worn(self.rules, self.row, connection,
+            if is_worn(self.limits, self.state, connection,
                        connection.answered_at):
                 self._close(connection)
             else:
@@ -255,7 +256,7 @@
         """
         with self._changed:
             if silent:
-                note_silent(self.row, connection)
+                note_silent(self.state, connection)
             self._close(connection)
             self._changed.notify()
 
@@ -264,7 +265,7 @@
         now = self._clock.now()
         with self._changed:
             for connection in list(self._idle):
-                if is_worn(self.rules, self.row, connection, now):
+                if is_worn(self.limits, self.state, connection, now):
                     self._idle.remove(connection)
                     self._close(connection)
 
@@ -279,12 +280,12 @@
         now = self._clock.now()
         while self._idle:
             connection = self._idle[-1]
-            if is_worn(self.rules, self.row, connection, now):
-                self.row.doubted += (connection.answered_at
-                                     <= self.row.doubted_before)
+            if is_worn(self.limits, self.state, connection, now):
+                self.state.stale_closed_count += (connection.answered_at
+                                                  <= self.state.stale_before)
             elif connection.http.is_connected:
-                if not may_reuse(self.rules, self.row, connection, repeatable,
-                                 now):
+                if not may_reuse(self.limits, self.state, connection,
+                                 repeatable, now):
                     return None
                 return self._idle.pop()
             self._close(self._idle.pop())
@@ -292,43 +293,43 @@
 
     def _may_open(self) -> bool:
         """Takes a token and a place for a new connection, if there are."""
-        if find_wait(self.rules, self.row, self._clock.now()) > 0:
+        if find_wait(self.limits, self.state, self._clock.now()) > 0:
             return False
-        if self.row.open >= self.rules.max_open:
+        if self.state.open_count >= self.limits.max_open:
             if not self._idle:
                 return False
             self._close(self._idle.popleft())
-        self.row.tokens -= 1
-        self.row.open += 1
+        self.state.tokens -= 1
+        self.state.open_count += 1
         return True
 
     def _wait(self, began_at: float, until: float,
               fresh: bool) -> outcomes.Failed | None:
         """Waits for a change; returns why it is no use, if so."""
         now = self._clock.now()
-        self.row.held += 1
+        self.state.wait_count += 1
         # While new connections fail, one in use may still be put back.
-        hopeless = fresh or not self.row.open
-        late = now >= began_at + self.rules.connect_timeout_ms
-        if is_failing(self.row) and (hopeless or late):
+        hopeless = fresh or not self.state.open_count
+        late = now >= began_at + self.limits.connect_timeout_ms
+        if is_failing(self.state) and (hopeless or late):
             return outcomes.Failed(outcomes.Reason.NO_SERVER,
                                    'new connections fail, none is tried now')
         if now >= until:
             return outcomes.Failed(outcomes.Reason.OVERLOADED,
                                    'all connections to the server are in use')
         wait_ms = until - now
-        if is_failing(self.row):
+        if is_failing(self.state):
             wait_ms = min(wait_ms,
-                          began_at + self.rules.connect_timeout_ms - now)
-        if self.row.open < self.rules.max_open:
-            wait_ms = min(wait_ms, find_wait(self.rules, self.row, now))
+                          began_at + self.limits.connect_timeout_ms - now)
+        if self.state.open_count < self.limits.max_open:
+            wait_ms = min(wait_ms, find_wait(self.limits, self.state, now))
         self._changed.wait(wait_ms / clocks.MS_PER_S)
         return None
 
     def _open(self, until: float) -> Connection | outcomes.Failed:
-        patience_ms = min(self.rules.connect_timeout_ms,
+        patience_ms = min(self.limits.connect_timeout_ms,
                           until - self._clock.now())
-        options = self.rules.socket_options
+        options = self.limits.socket_options
         http = http_connection.HTTPConnection(self._host,
                                               self._port,
                                               timeout=max(patience_ms, 1.0) /
@@ -343,15 +344,15 @@
             return self._note_failed(error)
         now = self._clock.now()
         with self._changed:
-            self.row.opened += 1
-            self.row.opened_at = now
+            self.state.opened_count += 1
+            self.state.last_opened_at = now
         return Connection(http, now)
 
     def _note_failed(self, error: Exception) -> outcomes.Failed:
         with self._changed:
-            self.row.open -= 1
-            self.row.failed += 1
-            self.row.failed_at = self._clock.now()
+            self.state.open_count -= 1
+            self.state.failed_count += 1
+            self.state.last_failed_at = self._clock.now()
             self._changed.notify_all()
         reason = outcomes.Reason.TIMED_OUT
         if isinstance(error.__cause__, ConnectionRefusedError):
@@ -361,4 +362,4 @@
     def _close(self, connection: Connection) -> None:
         """Closes a connection; the lock is held."""
         connection.http.close()
-        self.row.open -= 1
+        self.state.open_count -= 1
--- a/lentilmoor/tries.py
+++ b/lentilmoor/tries.py
@@ -124,7 +124,7 @@
 def _exchange(pool: connections.Pool, taken: connections.Connection,
               order: Order) -> Result:
     try:
-        response = _send(pool.rules, taken, order)
+        response = _send(pool.limits, taken, order)
     except bodies.BodyError as error:
         pool.drop(taken)
         return outcomes.Unknown(_Reason.BAD_REQUEST, str(error))
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -95,7 +95,7 @@
         again = self._take()
         self.assertTrue(again.reused)
         self.assertEqual(self._ask(again), b'ok')
-        self.assertEqual(self.pool.row.opened, 1)
+        self.assertEqual(self.pool.state.opened_count, 1)
 
     def test_silent_connection_is_told_from_a_dead_server(self):
         self._fill(3)
@@ -108,7 +108,9 @@
         self.assertEqual(self._ask(fresh), b'ok')
         self.pool.put_back(fresh)
         self._fill(3)  # None of the other old ones is met any more.
-        self.assertEqual((self.pool.row.doubted, self.pool.row.open), (2, 3))
+        self.assertEqual(
+            (self.pool.state.stale_closed_count, self.pool.state.open_count),
+            (2, 3))
 
     def test_dead_server_is_refused_and_gets_no_storm(self):
         self.pool = self._make_pool(burst=3, opens_per_s=0.001)
@@ -121,7 +123,7 @@
             reasons.append(result.reason)
         self.assertEqual(reasons.count(outcomes.Reason.CONNECT_FAILED), 2)
         self.assertEqual(reasons.count(outcomes.Reason.NO_SERVER), 48)
-        self.assertEqual(self.pool.row.open, 0)
+        self.assertEqual(self.pool.state.open_count, 0)
 
     def test_server_without_room_is_still_reached_by_what_is_open(self):
         self.pool = self._make_pool(burst=2,
@@ -153,7 +155,7 @@
         self.pool.put_back(taken[0])
         waiting.join()
         self.assertIs(taken[2], taken[0])
-        self.assertEqual(self.pool.row.opened, 2)
+        self.assertEqual(self.pool.state.opened_count, 2)
 
 
 class RuleTest(unittest.TestCase):
@@ -161,7 +163,7 @@
     def setUp(self):
         super().setUp()
         self.rules = connections.PoolLimits()
-        self.row = connections.PoolRow()
+        self.row = connections.PoolState()
 
     def test_unrepeatable_request_needs_a_connection_just_proven(self):
         item = connections.Connection(None, 0.0, answered_at=1_000.0, uses=2)
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -244,7 +244,8 @@
         self.forwarder.snapshot = dataclasses.replace(self.forwarder.snapshot,
                                                       entries=entries)
         self._forward()
-        self.assertEqual(self.forwarder.pools[self.before.id].rules.max_open, 3)
+        self.assertEqual(self.forwarder.pools[self.before.id].limits.max_open,
+                         3)
 
     def test_an_owner_that_stays_is_asked_again(self):
         outcome = self._forward()
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -364,9 +364,9 @@
         _, pool = self._start_server(True)
         self.assertIsNone(exchange.check(pool, 100.0))
         self.assertIsNone(exchange.check(pool, 100.0))
-        self.assertEqual(pool.row.opened, 2)
+        self.assertEqual(pool.state.opened_count, 2)
         taken = pool.take(True, False, 100.0)
-        self.assertEqual(pool.row.opened, 2)
+        self.assertEqual(pool.state.opened_count, 2)
         pool.drop(taken)
 
 
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -87,7 +87,7 @@
                 got += chunk
         self.assertLess(len(got), _LONG)
         answer.close()
-        self.assertEqual(pool.row.open, 0)
+        self.assertEqual(pool.state.open_count, 0)
 
     def test_an_answer_without_length_is_unknown(self):
         _, pool = self._serve(pathhelp.HEAD + b'\r\nwhole?CUT')
@@ -118,7 +118,7 @@
         _, pool = self._serve(None)
         sent = tries.send_order(pool, _order(body=chunks(), chunked=True))
         self._assert_unknown(sent, _Reason.BAD_REQUEST)
-        self.assertEqual(pool.row.open, 0)
+        self.assertEqual(pool.state.open_count, 0)
 
     def test_head_and_no_content_have_no_body(self):
         head = pathhelp.HEAD + b'Content-Length: 99\r\n\r\n'
