--- a/lentilmoor/adapters.py
+++ b/lentilmoor/adapters.py
@@ -61,7 +61,7 @@
     def close_worn(self) -> None:
         """Closes connections that are not to be used again."""
         for pool in list(self._rows.values()):
-            pool.close_worn()
+            pool.close_stale()
 
 
 Send = Callable[[routes.Straight, runs.Outgoing], tries.Try]
--- a/lentilmoor/connections.py
+++ b/lentilmoor/connections.py
@@ -21,7 +21,7 @@
 
 # A connection is left unused this long before its server would close it: a
 # request must not meet the close on its way.
-KEPT_MARGIN_MS = 500.0
+KEEP_ALIVE_MARGIN_MS = 500.0
 
 _NEVER = float('-inf')
 # Part of a server's connections that entries leave for probes and operators.
@@ -37,7 +37,7 @@
       max_idle_ms: A connection that was unused for longer is closed.
       non_idempotent_idle_ms: A request that is not idempotent reuses only a
         connection that was unused for at most this time.
-      reused_response_timeout_ms: Timeout for the start of the answer to an
+      reused_answer_timeout_ms: Timeout for the start of the answer to an
         idempotent request on a reused connection.
       connect_timeout_ms: Timeout for opening a connection.
       opens_per_s: Connections opened per second, after a first burst.
@@ -49,7 +49,7 @@
     max_open: int = 8
     max_idle_ms: float = 15_000.0
     non_idempotent_idle_ms: float = 1_000.0
-    reused_response_timeout_ms: float = 250.0
+    reused_answer_timeout_ms: float = 250.0
     connect_timeout_ms: float = 250.0
     opens_per_s: float = 20.0
     burst: float = 8.0
@@ -96,25 +96,25 @@
       http: The connection itself.
       opened_at: When it was opened.
       answered_at: When its last whole answer was read.
-      taken_at: When it was last taken for a request.
-      uses: Requests it has carried.
+      acquired_at: When it was last taken for a request.
+      use_count: Requests it has carried.
       keep_alive_ms: How long the server keeps it without a request.
     """
 
     http: http_connection.HTTPConnection
     opened_at: float
     answered_at: float = _NEVER
-    taken_at: float = _NEVER
-    uses: int = 0
+    acquired_at: float = _NEVER
+    use_count: int = 0
     keep_alive_ms: float = float('inf')
 
     @property
     def reused(self) -> bool:
         """Whether it has carried another request before this one."""
-        return self.uses > 1
+        return self.use_count > 1
 
 
-def share_connections(connections: int, entries: int) -> int:
+def compute_connection_share(connections: int, entries: int) -> int:
     """Returns how many connections an entry may hold to a server.
 
     Args:
@@ -131,19 +131,19 @@
     if connection.answered_at <= row.stale_before:
         return False
     idle_ms = now - connection.answered_at
-    if idle_ms > connection.keep_alive_ms - KEPT_MARGIN_MS:
+    if idle_ms > connection.keep_alive_ms - KEEP_ALIVE_MARGIN_MS:
         return False
     return idle_ms <= (rules.max_idle_ms
                        if repeatable else rules.non_idempotent_idle_ms)
 
 
-def is_worn(rules: PoolLimits, row: PoolState, connection: Connection,
-            now: float) -> bool:
+def is_stale(rules: PoolLimits, row: PoolState, connection: Connection,
+             now: float) -> bool:
     """Returns whether a connection is to be closed, whoever asks for it."""
     return not may_reuse(rules, row, connection, True, now)
 
 
-def find_wait(rules: PoolLimits, row: PoolState, now: float) -> float:
+def find_open_delay(rules: PoolLimits, row: PoolState, now: float) -> float:
     """Returns how long to wait before a connection may be opened, ms.
 
     Args:
@@ -159,13 +159,13 @@
     return (1 - row.tokens) * clocks.MS_PER_S / rules.opens_per_s
 
 
-def is_failing(row: PoolState) -> bool:
+def is_connect_failing(row: PoolState) -> bool:
     """Returns whether the last attempt to open a connection failed."""
     return row.last_failed_at > row.last_opened_at
 
 
-def find_timeout(rules: PoolLimits, connection: Connection, repeatable: bool,
-                 remaining_ms: float) -> float:
+def find_answer_timeout(rules: PoolLimits, connection: Connection,
+                        repeatable: bool, remaining_ms: float) -> float:
     """Returns how long to wait for the begin of an answer, ms.
 
     Only where another try may follow, and only on a connection that can have
@@ -173,18 +173,18 @@
     of the deadline on the fresh connection.
     """
     if repeatable and connection.reused:
-        return min(rules.reused_response_timeout_ms, remaining_ms)
+        return min(rules.reused_answer_timeout_ms, remaining_ms)
     return remaining_ms
 
 
-def note_silent(row: PoolState, connection: Connection) -> None:
+def record_timeout(row: PoolState, connection: Connection) -> None:
     """Notes that a connection brought no answer in time.
 
     Whatever lost track of it may have lost others: those that have not
     answered since it was taken are not used any more.
     """
     row.timed_out_count += 1
-    row.stale_before = max(row.stale_before, connection.taken_at)
+    row.stale_before = max(row.stale_before, connection.acquired_at)
 
 
 class Pool:
@@ -205,8 +205,8 @@
         self.limits = rules
         self.state = PoolState()
 
-    def take(self, repeatable: bool, fresh: bool,
-             patience_ms: float) -> Connection | outcomes.Failed:
+    def acquire(self, repeatable: bool, fresh: bool,
+                patience_ms: float) -> Connection | outcomes.Failed:
         """Returns a connection for one request.
 
         Args:
@@ -215,7 +215,7 @@
           patience_ms: How long to wait for one at most.
 
         Returns:
-          A connection, to be given to `put_back` or `drop`; or why there is
+          A connection, to be given to `release` or `discard`; or why there is
           none, in which case no byte has left. CONNECT_FAILED: the server
           refused. TIMED_OUT: it was not reached. OVERLOADED and NO_SERVER:
           none was opened, so this says nothing new of the server.
@@ -232,40 +232,40 @@
         if connection is None:
             connection = self._open(until)
         if isinstance(connection, Connection):
-            connection.taken_at = self._clock.now()
-            connection.uses += 1
+            connection.acquired_at = self._clock.now()
+            connection.use_count += 1
         return connection
 
-    def put_back(self, connection: Connection) -> None:
+    def release(self, connection: Connection) -> None:
         """Keeps a connection whose whole answer was read."""
         connection.answered_at = self._clock.now()
         with self._changed:
-            if is_worn(self.limits, self.state, connection,
-                       connection.answered_at):
+            if is_stale(self.limits, self.state, connection,
+                        connection.answered_at):
                 self._close(connection)
             else:
                 self._idle.append(connection)
             self._changed.notify()
 
-    def drop(self, connection: Connection, silent: bool = False) -> None:
+    def discard(self, connection: Connection, timed_out: bool = False) -> None:
         """Closes a connection for good.
 
         Args:
           connection: It broke, was cut, timed out or is in an unknown state.
-          silent: Whether it brought no byte of an answer in time.
+          timed_out: Whether it brought no byte of an answer in time.
         """
         with self._changed:
-            if silent:
-                note_silent(self.state, connection)
+            if timed_out:
+                record_timeout(self.state, connection)
             self._close(connection)
             self._changed.notify()
 
-    def close_worn(self) -> None:
+    def close_stale(self) -> None:
         """Closes connections that are not to be used again."""
         now = self._clock.now()
         with self._changed:
             for connection in list(self._idle):
-                if is_worn(self.limits, self.state, connection, now):
+                if is_stale(self.limits, self.state, connection, now):
                     self._idle.remove(connection)
                     self._close(connection)
 
@@ -280,7 +280,7 @@
         now = self._clock.now()
         while self._idle:
             connection = self._idle[-1]
-            if is_worn(self.limits, self.state, connection, now):
+            if is_stale(self.limits, self.state, connection, now):
                 self.state.stale_closed_count += (connection.answered_at
                                                   <= self.state.stale_before)
             elif connection.http.is_connected:
@@ -293,7 +293,7 @@
 
     def _may_open(self) -> bool:
         """Takes a token and a place for a new connection, if there are."""
-        if find_wait(self.limits, self.state, self._clock.now()) > 0:
+        if find_open_delay(self.limits, self.state, self._clock.now()) > 0:
             return False
         if self.state.open_count >= self.limits.max_open:
             if not self._idle:
@@ -311,18 +311,19 @@
         # While new connections fail, one in use may still be put back.
         hopeless = fresh or not self.state.open_count
         late = now >= began_at + self.limits.connect_timeout_ms
-        if is_failing(self.state) and (hopeless or late):
+        if is_connect_failing(self.state) and (hopeless or late):
             return outcomes.Failed(outcomes.Reason.NO_SERVER,
                                    'new connections fail, none is tried now')
         if now >= until:
             return outcomes.Failed(outcomes.Reason.OVERLOADED,
                                    'all connections to the server are in use')
         wait_ms = until - now
-        if is_failing(self.state):
+        if is_connect_failing(self.state):
             wait_ms = min(wait_ms,
                           began_at + self.limits.connect_timeout_ms - now)
         if self.state.open_count < self.limits.max_open:
-            wait_ms = min(wait_ms, find_wait(self.limits, self.state, now))
+            wait_ms = min(wait_ms, find_open_delay(self.limits, self.state,
+                                                   now))
         self._changed.wait(wait_ms / clocks.MS_PER_S)
         return None
 
--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -220,33 +220,33 @@
       read_answer: Reads the headers of an answer (see `ports.HeaderFormat`).
       clock: Time.
     """
-    taken = pool.take(order.repeatable, False, order.until - clock.now())
+    taken = pool.acquire(order.repeatable, False, order.until - clock.now())
     if isinstance(taken, outcomes.Failed):
         return NotSent(taken.reason, taken.detail)
     headers = order.make_headers()
     if headers is None:
-        pool.drop(taken)
+        pool.discard(taken)
         return Withheld()
-    if taken.uses == 1:
+    if taken.use_count == 1:
         prepare(taken)
     try:
         return _exchange(pool, taken, order, headers, watch, read_answer, clock)
     except TimeoutError:
-        pool.drop(taken)
+        pool.discard(taken)
         return outcomes.Unknown(_Reason.TIMED_OUT, 'no whole answer in time')
     except _BROKEN as error:
-        pool.drop(taken)
+        pool.discard(taken)
         return outcomes.Unknown(_Reason.CONNECTION_LOST,
                                 f'{type(error).__name__}: {error}'[:200])
 
 
 def check(pool: connections.Pool, patience_ms: float) -> outcomes.Reason | None:
     """Opens a connection for later use; returns why it couldn't be opened."""
-    taken = pool.take(True, True, patience_ms)
+    taken = pool.acquire(True, True, patience_ms)
     if isinstance(taken, outcomes.Failed):
         return taken.reason
     prepare(taken)
-    pool.put_back(taken)
+    pool.release(taken)
     return None
 
 
@@ -264,10 +264,10 @@
     while event is Event.TALKS:
         event = watch.await_either(taken.http.sock, order.until - clock.now())
     if event is Event.GONE:
-        pool.drop(taken)
+        pool.discard(taken)
         return Gone()
     if event is Event.TIMEOUT:
-        pool.drop(taken, silent=taken.reused)
+        pool.discard(taken, timed_out=taken.reused)
         return outcomes.Unknown(_Reason.TIMED_OUT, 'no answer in time')
     _set_timeout(taken, order, clock)
     response = taken.http.getresponse()
@@ -280,7 +280,7 @@
         fields = read_answer(response.status, response.headers)
         fields = dataclasses.replace(fields, closes_connection=True)
     else:
-        pool.drop(taken)
+        pool.discard(taken)
         return outcomes.Unknown(_Reason.ANSWER_CUT, 'only answers to others')
     return _read_body(pool, taken, order, response, fields)
 
@@ -324,9 +324,9 @@
     if framed and not fields.closes_connection and _is_clean(taken):
         if fields.keep_alive_ms is not None:
             taken.keep_alive_ms = fields.keep_alive_ms
-        pool.put_back(taken)
+        pool.release(taken)
     else:
-        pool.drop(taken)
+        pool.discard(taken)
     answer = tries.make_whole(response.status, headers, body)
     return Reply(answer, fields, taken.opened_at)
 
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -359,7 +359,8 @@
     """
     # An entry that started again is registered twice for a while.
     entries = {peer.address for peer in forwarder.snapshot.entries.values()}
-    share = connections.share_connections(service.max_connections, len(entries))
+    share = connections.compute_connection_share(service.max_connections,
+                                                 len(entries))
     return dataclasses.replace(forwarder.rules,
                                max_open=min(forwarder.rules.max_open, share))
 
--- a/lentilmoor/tries.py
+++ b/lentilmoor/tries.py
@@ -115,7 +115,7 @@
     Returns:
       The answer (whole if it is small), or why there is none.
     """
-    taken = pool.take(order.repeatable, order.fresh, order.remaining_ms)
+    taken = pool.acquire(order.repeatable, order.fresh, order.remaining_ms)
     if isinstance(taken, outcomes.Failed):
         return Try(outcomes.NotRun(taken.reason, taken.detail))
     return Try(_exchange(pool, taken, order), taken.reused, taken.opened_at)
@@ -126,21 +126,21 @@
     try:
         response = _send(pool.limits, taken, order)
     except bodies.BodyError as error:
-        pool.drop(taken)
+        pool.discard(taken)
         return outcomes.Unknown(_Reason.BAD_REQUEST, str(error))
     except TimeoutError:
-        pool.drop(taken, silent=True)
+        pool.discard(taken, timed_out=True)
         return outcomes.Unknown(_Reason.TIMED_OUT, 'no answer in time')
     except _BROKEN as error:
-        pool.drop(taken)
+        pool.discard(taken)
         return outcomes.Unknown(_Reason.CONNECTION_LOST, type(error).__name__)
     return _read_start(pool, taken, response, order.method)
 
 
 def _send(rules: connections.PoolLimits, taken: connections.Connection,
           order: Order) -> urllib3.HTTPResponse:
-    wait_ms = connections.find_timeout(rules, taken, order.repeatable,
-                                       order.remaining_ms)
+    wait_ms = connections.find_answer_timeout(rules, taken, order.repeatable,
+                                              order.remaining_ms)
     wait_ms = min(max(wait_ms, order.service_ms * SILENCE_FACTOR),
                   order.remaining_ms)
     taken.http.timeout = wait_ms / clocks.MS_PER_S
@@ -165,24 +165,25 @@
                for name, value in response.headers.items()
                if name.lower() not in header_names.HOP_BY_HOP]
     if method == 'HEAD' or response.status in _NO_BODY_STATUSES:
-        pool.put_back(taken)
+        pool.release(taken)
         return make_whole(response.status, headers, b'')
     length = response.length_remaining
     if length is None and not response.chunked:
-        pool.drop(taken)
+        pool.discard(taken)
         return outcomes.Unknown(
             _Reason.ANSWER_CUT,
             'the answer has no length, so its end cannot be told')
     if length is None or length > CHUNK_BYTES:
         return Answer(response.status, headers, b'',
-                      _stream(pool, taken, response), lambda: pool.drop(taken))
+                      _stream(pool, taken, response),
+                      lambda: pool.discard(taken))
     try:
         body = response.read(decode_content=False)
     except _BROKEN:
-        pool.drop(taken)
+        pool.discard(taken)
         return outcomes.Unknown(_Reason.ANSWER_CUT,
                                 'the answer ended before its announced end')
-    pool.put_back(taken)
+    pool.release(taken)
     return make_whole(response.status, headers, body)
 
 
@@ -194,7 +195,7 @@
         yield from response.stream(CHUNK_BYTES, decode_content=False)
     except _BROKEN as error:
         raise CutError(str(error)) from error
-    pool.put_back(taken)
+    pool.release(taken)
 
 
 def _do_nothing() -> None:
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -73,7 +73,7 @@
         return pool
 
     def _take(self, repeatable=True, fresh=False, patience_ms=_PATIENCE_MS):
-        taken = self.pool.take(repeatable, fresh, patience_ms)
+        taken = self.pool.acquire(repeatable, fresh, patience_ms)
         if isinstance(taken, connections.Connection):
             self.addCleanup(taken.http.close)
         return taken
@@ -88,7 +88,7 @@
         for item in taken:
             self._ask(item)
         for item in taken:
-            self.pool.put_back(item)
+            self.pool.release(item)
 
     def test_whole_answer_lets_the_connection_be_used_again(self):
         self._fill(1)
@@ -103,10 +103,10 @@
         silent = self._take()
         with self.assertRaises((http_exceptions.HTTPError, OSError)):
             self._ask(silent, timeout_ms=50)
-        self.pool.drop(silent, silent=True)
+        self.pool.discard(silent, timed_out=True)
         fresh = self._take(fresh=True)
         self.assertEqual(self._ask(fresh), b'ok')
-        self.pool.put_back(fresh)
+        self.pool.release(fresh)
         self._fill(3)  # None of the other old ones is met any more.
         self.assertEqual(
             (self.pool.state.stale_closed_count, self.pool.state.open_count),
@@ -138,7 +138,7 @@
         waiting = threading.Thread(target=lambda: taken.append(self._take()))
         waiting.start()
         self._ask(first)
-        self.pool.put_back(first)
+        self.pool.release(first)
         waiting.join()
         self.assertIs(taken[0], first)
         hopeless = self._take(fresh=True)
@@ -152,7 +152,7 @@
         waiting = threading.Thread(target=lambda: taken.append(self._take()))
         waiting.start()
         self._ask(taken[0])
-        self.pool.put_back(taken[0])
+        self.pool.release(taken[0])
         waiting.join()
         self.assertIs(taken[2], taken[0])
         self.assertEqual(self.pool.state.opened_count, 2)
@@ -166,7 +166,10 @@
         self.row = connections.PoolState()
 
     def test_unrepeatable_request_needs_a_connection_just_proven(self):
-        item = connections.Connection(None, 0.0, answered_at=1_000.0, uses=2)
+        item = connections.Connection(None,
+                                      0.0,
+                                      answered_at=1_000.0,
+                                      use_count=2)
         for now, repeatable, allowed in ((1_900.0, False, True), (2_100.0,
                                                                   False, False),
                                          (2_100.0, True, True), (17_000.0, True,
@@ -176,10 +179,11 @@
                                       now), allowed)
 
     def test_only_what_can_be_tried_again_is_cut_short(self):
-        used = connections.Connection(None, 0.0, uses=2)
-        new = connections.Connection(None, 0.0, uses=1)
+        used = connections.Connection(None, 0.0, use_count=2)
+        new = connections.Connection(None, 0.0, use_count=1)
         limits = [
-            connections.find_timeout(self.rules, item, repeatable, 2_000.0)
+            connections.find_answer_timeout(self.rules, item, repeatable,
+                                            2_000.0)
             for item in (used, new)
             for repeatable in (True, False)
         ]
@@ -188,14 +192,14 @@
     def test_opening_keeps_to_its_rate(self):
         opened = 0
         for now in range(1_000, 11_000):
-            if connections.find_wait(self.rules, self.row, now) == 0:
+            if connections.find_open_delay(self.rules, self.row, now) == 0:
                 self.row.tokens -= 1
                 opened += 1
         self.assertAlmostEqual(opened, 8 + 200, delta=1)
 
     def test_shares_leave_room(self):
-        self.assertEqual(connections.share_connections(125, 12), 9)
-        self.assertEqual(connections.share_connections(3, 12), 1)
+        self.assertEqual(connections.compute_connection_share(125, 12), 9)
+        self.assertEqual(connections.compute_connection_share(3, 12), 1)
 
 
 if __name__ == '__main__':
--- a/tests/test_edge_departures.py
+++ b/tests/test_edge_departures.py
@@ -117,13 +117,13 @@
                                          self.forwarder.rules,
                                          self.forwarder.clock)
         self.forwarder.pools[self.after.id] = pool
-        open_connection = pool.take
+        open_connection = pool.acquire
 
         def take(*args):
             self._leave(200.0)
             return open_connection(*args)
 
-        pool.take = take
+        pool.acquire = take
         self._assert_refused(self._forward())
         self.assertEqual(self.after.arrivals, 0)
 
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -365,9 +365,9 @@
         self.assertIsNone(exchange.check(pool, 100.0))
         self.assertIsNone(exchange.check(pool, 100.0))
         self.assertEqual(pool.state.opened_count, 2)
-        taken = pool.take(True, False, 100.0)
+        taken = pool.acquire(True, False, 100.0)
         self.assertEqual(pool.state.opened_count, 2)
-        pool.drop(taken)
+        pool.discard(taken)
 
 
 if __name__ == '__main__':
