--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -12,7 +12,7 @@
 
 from lentilmoor import clocks
 from lentilmoor import connections
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor import shutdowns
@@ -175,7 +175,7 @@
         wake=entry.hurry.set)
     entry.reporter = reporting.Reporter(
         instance, forwarder,
-        httpcalls.Caller(clock, PEER_CONNECTIONS, socket_options),
+        httpclient.Client(clock, PEER_CONNECTIONS, socket_options),
         entry.actor.tell)
     entry.follower = storecopy.StoreFollower(
         ports.make_peer(instance, platform.settings), entry.reporter,
--- a/lentilmoor/edge/permits.py
+++ b/lentilmoor/edge/permits.py
@@ -16,7 +16,7 @@
 import threading
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor.edge import ports
 from lentilmoor.edge import ratelimits
@@ -71,13 +71,13 @@
       logger: Receives a log line for each failed permit request.
       socket_options: Set on connections to other entries.
     """
-    caller = httpcalls.Caller(clock, 2, socket_options)
+    caller = httpclient.Client(clock, 2, socket_options)
 
     def send_request(
             issuer: str,
             message: reports.PermitRequest) -> reports.PermitReply | None:
-        request = httpcalls.Request('POST', PATH,
-                                    reports.encode_permit(message))
+        request = httpclient.Request('POST', PATH,
+                                     reports.encode_permit(message))
         result = caller.call(issuer, request, TIMEOUT_MS)
         reason = ''
         if isinstance(result, outcomes.Failed):
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -9,7 +9,7 @@
 import dataclasses
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor import quarantine
 from lentilmoor.edge import control
@@ -85,7 +85,7 @@
 
     instance: str
     forwarder: requests.Forwarder
-    caller: httpcalls.Caller
+    caller: httpclient.Client
     send_control: Callable[[object], None]
     table: hub.HubTable = dataclasses.field(default_factory=hub.HubTable)
     work_times_asked_at: float = float('-inf')
@@ -311,8 +311,8 @@
       Everything, if it knows more than this one.
     """
     result = reporter.caller.call(
-        address, httpcalls.Request('POST', STATE_PATH,
-                                   str(since).encode()), STATE_TIMEOUT_MS,
+        address, httpclient.Request('POST', STATE_PATH,
+                                    str(since).encode()), STATE_TIMEOUT_MS,
         TIMEOUT_MS)
     if isinstance(result, outcomes.Failed) or result.status != 200:
         return None
@@ -328,7 +328,7 @@
     data = reports.encode_report(found)
     sent_at = clock.now()
     result = reporter.caller.call(peer.address,
-                                  httpcalls.Request('POST', PATH, data),
+                                  httpclient.Request('POST', PATH, data),
                                   max(TIMEOUT_MS, TIMEOUT_INTERVALS * pause_ms))
     _note_reply(reporter, peer, len(data), clock.now() - sent_at, result)
     if isinstance(result, outcomes.Failed) or result.status != 200:
@@ -338,7 +338,7 @@
 
 def _note_reply(reporter: Reporter, peer: ports.Peer, sent_bytes: int,
                 took_ms: float,
-                result: httpcalls.Reply | outcomes.Failed) -> None:
+                result: httpclient.Reply | outcomes.Failed) -> None:
     """Tells of a reply that didn't come, or was slow."""
     failed = isinstance(result, outcomes.Failed)
     if not failed and result.status == 200 and took_ms < SLOW_REPLY_MS:
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -12,7 +12,7 @@
 import threading
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor.edge import relays
 from lentilmoor.edge import reporting
@@ -182,7 +182,7 @@
     asked_at = follower.clock.now()
     wait_ms = forwarder.age_limits.poll_wait_ms if waits else 0.0
     result = reporter.caller.call(address,
-                                  httpcalls.Request('POST', PATH, data),
+                                  httpclient.Request('POST', PATH, data),
                                   wait_ms + forwarder.age_limits.poll_reply_ms,
                                   CONNECT_TIMEOUT_MS)
     failed = isinstance(result, outcomes.Failed)
--- a/lentilmoor/httpcalls.py
+++ b/lentilmoor/httpclient.py
@@ -45,7 +45,7 @@
     body: bytes
 
 
-class Caller:
+class Client:
     """Makes calls over kept connections.
 
     Failures are CONNECT_FAILED (certainly not sent), TIMED_OUT or
@@ -71,23 +71,25 @@
         self._pools: dict[str, urllib3.HTTPConnectionPool] = {}
         self._lock = threading.Lock()
 
-    def has_used(self, address: str) -> bool:
+    def may_have_idle(self, address: str) -> bool:
         """Returns whether a connection to an address may lie idle."""
         pool = self._pools.get(address)
         return pool is not None and pool.num_requests > 0
 
-    def call(self,
-             address: str,
-             request: Request,
-             timeout_ms: float,
-             connect_ms: float | None = None) -> Reply | outcomes.Failed:
+    def call(
+            self,
+            address: str,
+            request: Request,
+            timeout_ms: float,
+            connect_timeout_ms: float | None = None) -> Reply | outcomes.Failed:
         """Makes one call.
 
         Args:
           address: host:port.
           request: What to send.
           timeout_ms: Time limit from now to the end of the reply.
-          connect_ms: Time limit of a new connection; `timeout_ms` if None.
+          connect_timeout_ms: Timeout of opening a connection; `timeout_ms` if
+            None.
         """
         pool = self._find(address)
         ends = self._clock.now() + timeout_ms
@@ -97,7 +99,7 @@
                                     body=request.body,
                                     headers=request.headers,
                                     timeout=_make_timeout(
-                                        timeout_ms, connect_ms),
+                                        timeout_ms, connect_timeout_ms),
                                     retries=False,
                                     redirect=False,
                                     preload_content=False)
@@ -106,17 +108,17 @@
                 urllib3.exceptions.ConnectTimeoutError) as error:
             return outcomes.Failed(_Reason.CONNECT_FAILED, str(error))
         except urllib3.exceptions.TimeoutError as error:
-            self.forget(address)
+            self.discard_connections(address)
             return outcomes.Failed(_Reason.TIMED_OUT, str(error))
         except (urllib3.exceptions.HTTPError, OSError) as error:
-            self.forget(address)
+            self.discard_connections(address)
             return outcomes.Failed(_Reason.CONNECTION_LOST, str(error))
         if body is None:
             response.close()
             return outcomes.Failed(_Reason.TIMED_OUT, 'reply too slow or long')
         return Reply(response.status, response.headers, body)
 
-    def forget(self, address: str) -> None:
+    def discard_connections(self, address: str) -> None:
         """Closes the idle connections to an address; none is used again."""
         with self._lock:
             pool = self._pools.pop(address, None)
@@ -151,8 +153,8 @@
 
 
 def _make_timeout(timeout_ms: float,
-                  connect_ms: float | None) -> urllib3.Timeout:
+                  connect_timeout_ms: float | None) -> urllib3.Timeout:
     limits = {'total': timeout_ms / clocks.MS_PER_S}
-    if connect_ms is not None:
-        limits['connect'] = connect_ms / clocks.MS_PER_S
+    if connect_timeout_ms is not None:
+        limits['connect'] = connect_timeout_ms / clocks.MS_PER_S
     return urllib3.Timeout(**limits)
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -8,7 +8,7 @@
 import urllib3.exceptions
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor.edge import ownership
 from lentilmoor.edge import ports
@@ -32,12 +32,12 @@
       clock: This process's time.
     """
     pool = links.Links(clock)
-    caller = httpcalls.Caller(clock, 4, links.OPTIONS)
+    caller = httpclient.Client(clock, 4, links.OPTIONS)
 
     def call_release(address: str, fields: Mapping,
-                     timeout_ms: float) -> httpcalls.Reply | outcomes.Failed:
-        request = httpcalls.Request('POST', _RELEASE,
-                                    json.dumps(fields).encode(), _HEADERS)
+                     timeout_ms: float) -> httpclient.Reply | outcomes.Failed:
+        request = httpclient.Request('POST', _RELEASE,
+                                     json.dumps(fields).encode(), _HEADERS)
         return caller.call(address, request, timeout_ms)
 
     def grant(action: ownership.Grant) -> ownership.GrantResult:
@@ -51,7 +51,7 @@
         fields = {'From': item.first, 'To': item.last, 'fence': item.fence}
         reply = call_release(action.server.address, fields, RELEASE_MS)
         token = ''
-        if isinstance(reply, httpcalls.Reply):
+        if isinstance(reply, httpclient.Reply):
             token = reply.headers.get(_TOKEN, '')
         return _judge_reply(reply), token
 
@@ -117,7 +117,7 @@
 
 
 def _judge_reply(
-        reply: httpcalls.Reply | outcomes.Failed) -> ownership.CallOutcome:
+        reply: httpclient.Reply | outcomes.Failed) -> ownership.CallOutcome:
     if isinstance(reply, outcomes.Failed):
         if reply.reason is outcomes.Reason.CONNECT_FAILED:
             return _Answer.NOT_SENT
--- a/lentilmoor/platform/store.py
+++ b/lentilmoor/platform/store.py
@@ -13,7 +13,7 @@
 import urllib.parse
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor.edge import keyranges
@@ -98,8 +98,8 @@
         self._clock = clock
         self._restored: Callable[[], None] = lambda: None
         # A waiting watch must not keep other calls from their connection.
-        self._caller = httpcalls.Caller(clock, 4, KEEPALIVE)
-        self._watcher = httpcalls.Caller(clock, 1, KEEPALIVE)
+        self._caller = httpclient.Client(clock, 4, KEEPALIVE)
+        self._watcher = httpclient.Client(clock, 1, KEEPALIVE)
         self.counts: collections.Counter[str] = collections.Counter()
 
     def call(self,
@@ -116,8 +116,9 @@
             self._note_unanswered(self._clock.now())
         reply = caller.call(
             self._address,
-            httpcalls.Request(method, target, data,
-                              {'Content-Type': 'application/json'}), timeout_ms)
+            httpclient.Request(method, target, data,
+                               {'Content-Type': 'application/json'}),
+            timeout_ms)
         if isinstance(reply, outcomes.Failed):
             self._note_unanswered(self._clock.now())
             return reply
@@ -147,7 +148,7 @@
         return (0.0 if unanswered_at is None else self._clock.now() -
                 unanswered_at)
 
-    def _read_era(self, reply: httpcalls.Reply) -> int | None:
+    def _read_era(self, reply: httpclient.Reply) -> int | None:
         """Takes in the era of an answer and returns it; None if it is bad.
 
         An answer without one is of the era that is known.
--- a/lentilmoor/servers.py
+++ b/lentilmoor/servers.py
@@ -13,7 +13,7 @@
 from typing import TypeVar
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor import ranges
 
@@ -202,23 +202,24 @@
       clock: This process's time.
       timeout_ms: Deadline of a call.
     """
-    kept = httpcalls.Caller(clock, _IDLE_CONNECTIONS)
+    kept = httpclient.Client(clock, _IDLE_CONNECTIONS)
 
     def post(address: str, path: str,
-             body: dict[str, Any]) -> httpcalls.Reply | outcomes.Failed:
-        request = httpcalls.Request('POST', path,
-                                    json.dumps(body).encode(),
-                                    {'Content-Type': 'application/json'})
+             body: dict[str, Any]) -> httpclient.Reply | outcomes.Failed:
+        request = httpclient.Request('POST', path,
+                                     json.dumps(body).encode(),
+                                     {'Content-Type': 'application/json'})
         return _call_twice(kept, clock, address, request, timeout_ms)
 
     def get(address: str, path: str,
-            limit_ms: float) -> httpcalls.Reply | outcomes.Failed:
+            limit_ms: float) -> httpclient.Reply | outcomes.Failed:
         """Reads over a connection of its own: an old one may be silent."""
-        fresh = httpcalls.Caller(clock, _IDLE_CONNECTIONS)
+        fresh = httpclient.Client(clock, _IDLE_CONNECTIONS)
         try:
-            return fresh.call(address, httpcalls.Request('GET', path), limit_ms)
+            return fresh.call(address, httpclient.Request('GET', path),
+                              limit_ms)
         finally:
-            fresh.forget(address)
+            fresh.discard_connections(address)
 
     def grant(
             address: str,
@@ -279,18 +280,18 @@
     return None
 
 
-def _call_twice(kept: httpcalls.Caller, clock: clocks.Clock, address: str,
-                request: httpcalls.Request,
-                timeout_ms: float) -> httpcalls.Reply | outcomes.Failed:
+def _call_twice(kept: httpclient.Client, clock: clocks.Clock, address: str,
+                request: httpclient.Request,
+                timeout_ms: float) -> httpclient.Reply | outcomes.Failed:
     """Calls, and once more on a fresh connection if an old one was silent.
 
     Every call of control may be repeated: grants are fenced and count their
     lifetime from an echoed clock, so that a late duplicate changes nothing.
     """
     ends = clock.now() + timeout_ms
-    if kept.has_used(address):
+    if kept.may_have_idle(address):
         result = kept.call(address, request, timeout_ms * KEPT_CONNECTION_SHARE)
-        if isinstance(result, httpcalls.Reply):
+        if isinstance(result, httpclient.Reply):
             return result
         if result.reason is _Reason.CONNECT_FAILED:
             return result
@@ -314,9 +315,9 @@
 
 
 def _read_grant(
-    reply: httpcalls.Reply | outcomes.Failed
+    reply: httpclient.Reply | outcomes.Failed
 ) -> GrantAnswer | GrantRefused | outcomes.Failed:
-    if isinstance(reply, httpcalls.Reply) and reply.status == _CONFLICT:
+    if isinstance(reply, httpclient.Reply) and reply.status == _CONFLICT:
         return _parse(reply, _read_grant_refusal)
     return _parse(reply, _read_grant_answer)
 
@@ -347,7 +348,7 @@
 
 
 def _parse(
-        reply: httpcalls.Reply | outcomes.Failed,
+        reply: httpclient.Reply | outcomes.Failed,
         read: Callable[[dict[str, Any]], _Parsed]) -> _Parsed | outcomes.Failed:
     if isinstance(reply, outcomes.Failed):
         return reply
@@ -360,7 +361,7 @@
 
 
 def _read_done(
-        reply: httpcalls.Reply | outcomes.Failed) -> outcomes.Failed | None:
+        reply: httpclient.Reply | outcomes.Failed) -> outcomes.Failed | None:
     if isinstance(reply, outcomes.Failed):
         return reply
     if reply.status != _OK:
--- a/lentilmoor/stores.py
+++ b/lentilmoor/stores.py
@@ -20,7 +20,7 @@
 import xxhash
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import models
 from lentilmoor import outcomes
 
@@ -344,12 +344,12 @@
         self._clock = clock
         self._addresses = addresses
         self._preferred = 0
-        self._caller = httpcalls.Caller(clock, _IDLE_CONNECTIONS)
+        self._caller = httpclient.Client(clock, _IDLE_CONNECTIONS)
 
     def read(self, target: str,
-             timeout_ms: float) -> httpcalls.Reply | outcomes.Failed:
+             timeout_ms: float) -> httpclient.Reply | outcomes.Failed:
         """Makes a call that changes nothing; any failure means no answer."""
-        result = self._call(httpcalls.Request('GET', target), timeout_ms)
+        result = self._call(httpclient.Request('GET', target), timeout_ms)
         if isinstance(result, _Failed):
             if result.reason is _Reason.TIMED_OUT:
                 return result
@@ -358,8 +358,8 @@
             return _Failed(_Reason.STORE_UNAVAILABLE, f'status {result.status}')
         return result
 
-    def write(self, request: httpcalls.Request,
-              timeout_ms: float) -> httpcalls.Reply | outcomes.Failed:
+    def write(self, request: httpclient.Request,
+              timeout_ms: float) -> httpclient.Reply | outcomes.Failed:
         """Makes a call that may take effect though it fails.
 
         Returns:
@@ -375,8 +375,8 @@
             return _Failed(_Reason.TIMED_OUT, f'status {result.status}')
         return result
 
-    def _call(self, request: httpcalls.Request,
-              timeout_ms: float) -> httpcalls.Reply | outcomes.Failed:
+    def _call(self, request: httpclient.Request,
+              timeout_ms: float) -> httpclient.Reply | outcomes.Failed:
         """Makes one call, on the next address if it surely was not sent."""
         ends = self._clock.now() + timeout_ms
         failed = _Failed(_Reason.CONNECT_FAILED, 'no time left')
@@ -386,11 +386,11 @@
             if left_ms <= 0:
                 break
             result = self._caller.call(self._addresses[index], request, left_ms)
-            if (isinstance(result, httpcalls.Reply) and
+            if (isinstance(result, httpclient.Reply) and
                     result.status < _SERVER_ERROR):
                 return result
             self._preferred = (index + 1) % len(self._addresses)
-            if isinstance(result, httpcalls.Reply):
+            if isinstance(result, httpclient.Reply):
                 return result
             failed = result
             if failed.reason is not _Reason.CONNECT_FAILED:
@@ -406,7 +406,7 @@
     return _Failed(_Reason.INVALID, f'the store answered {what}')
 
 
-def _read_version(reply: httpcalls.Reply) -> int | None:
+def _read_version(reply: httpclient.Reply) -> int | None:
     tag = reply.headers.get('ETag', '').strip('"')
     return int(tag) if tag.isdecimal() and int(tag) > 0 else None
 
@@ -429,8 +429,8 @@
         condition = {'If-Match': f'"{expected}"'}
     else:
         condition = {'If-None-Match': '*'}
-    reply = client.write(httpcalls.Request('PUT', _path(key), value, condition),
-                         timeout_ms)
+    reply = client.write(
+        httpclient.Request('PUT', _path(key), value, condition), timeout_ms)
     if isinstance(reply, _Failed):
         return reply
     version = _read_version(reply)
@@ -475,13 +475,13 @@
 def _register(client: _Client, instance: ListedInstance, timeout_ms: float):
     path = '/v1/instances/' + urllib.parse.quote(instance.id, safe='')
     body = json.dumps(format_instance(instance)).encode()
-    reply = client.write(httpcalls.Request('PUT', path, body), timeout_ms)
+    reply = client.write(httpclient.Request('PUT', path, body), timeout_ms)
     if isinstance(reply, _Failed):
         return reply
     return None if reply.status == 200 else _invalid(f'status {reply.status}')
 
 
-def _parse(reply: httpcalls.Reply | outcomes.Failed, build):
+def _parse(reply: httpclient.Reply | outcomes.Failed, build):
     if isinstance(reply, _Failed):
         return reply
     if reply.status != 200:
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor.edge import control
@@ -163,7 +163,7 @@
                                    load_configuration=load_configuration)
 
     def call(self, address, request, timeout_ms, unused_connect_ms=None):
-        """Calls another entry, as `httpcalls.Caller` does."""
+        """Calls another entry, as `httpclient.Client` does."""
         other = self._fleet.by_address[address]
         wait_s = other.faults.slow_s
         if other.faults.frozen or self.faults.frozen:
@@ -174,7 +174,7 @@
         time.sleep(other.faults.slow_back_s)
         if (wait_s + other.faults.slow_back_s) * clocks.MS_PER_S >= timeout_ms:
             return outcomes.Failed(outcomes.Reason.TIMED_OUT)
-        return httpcalls.Reply(status, {}, body)
+        return httpclient.Reply(status, {}, body)
 
     def answer(self, target: str, body: bytes) -> tuple[int, bytes]:
         """Answers another entry."""
--- a/tests/test_edge_hub.py
+++ b/tests/test_edge_hub.py
@@ -12,7 +12,7 @@
 
 from benchmarks import edge_hub
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor.edge import control
 from lentilmoor.edge import controlstate
@@ -107,8 +107,8 @@
                 reply = reports.ReportReply({}, {}, {},
                                             revision=5,
                                             news_age_ms=100.0)
-                return httpcalls.Reply(200, {},
-                                       reports.encode_report_reply(reply))
+                return httpclient.Reply(200, {},
+                                        reports.encode_report_reply(reply))
 
         forwarder = requests.Forwarder(time_.clock(), mock.Mock(),
                                        logs.make_logger('test'), None)
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -10,7 +10,7 @@
 from unittest import mock
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import linequeue
 from lentilmoor import logs
 from lentilmoor import outcomes
@@ -342,7 +342,7 @@
         if address not in self.replies:
             return outcomes.Failed(outcomes.Reason.CONNECT_FAILED, 'down')
         data = reports.encode_report_reply(self.replies[address])
-        return httpcalls.Reply(200, {}, data)
+        return httpclient.Reply(200, {}, data)
 
     def test_what_each_tells_of_its_service_stands_beside_the_other(self):
         reporting.exchange_reports(self.reporter)
--- a/tests/test_edge_saves.py
+++ b/tests/test_edge_saves.py
@@ -6,7 +6,7 @@
 import urllib3
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor.edge import coordination
@@ -110,12 +110,12 @@
     def test_whether_it_was_carried_out_is_not_known(self):
         replies = [
             outcomes.Failed(outcomes.Reason.TIMED_OUT),
-            httpcalls.Reply(503, urllib3.HTTPHeaderDict(), b'')
+            httpclient.Reply(503, urllib3.HTTPHeaderDict(), b'')
         ]
         client = store.connect_store('127.0.0.1:1', clocks.Clock(),
                                      logs.make_logger('test'))
         assignment = keyranges.Assignment('stock', 1, 2, ())
-        with mock.patch.object(httpcalls.Caller, 'call', side_effect=replies):
+        with mock.patch.object(httpclient.Client, 'call', side_effect=replies):
             result = client.save(assignment, 1)
         self.assertIs(result.reason, outcomes.Reason.TIMED_OUT)
 
--- a/tests/test_edge_subscriptions.py
+++ b/tests/test_edge_subscriptions.py
@@ -7,7 +7,7 @@
 from unittest import mock
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor.edge import following
@@ -126,11 +126,11 @@
         self.lost: set[str] = set()
 
     def call(self, address, request, unused_timeout_ms, unused_connect_ms=None):
-        """Makes a call, as `httpcalls.Caller` does."""
+        """Makes a call, as `httpclient.Client` does."""
         if address in self.lost:
             return outcomes.Failed(outcomes.Reason.CONNECT_FAILED, address)
         status, body = self.pages[address, request.target](request.body)
-        return httpcalls.Reply(status, {}, body)
+        return httpclient.Reply(status, {}, body)
 
 
 class NewsTest(unittest.TestCase):
--- a/tests/test_servers.py
+++ b/tests/test_servers.py
@@ -8,7 +8,7 @@
 import unittest
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor import servers
 from standins import backend
@@ -132,16 +132,16 @@
         self.assertEqual(len(self.server.list_connections()), len(old) + 1)
 
     def test_naive_call_is_lost_on_a_silent_connection(self):
-        caller = httpcalls.Caller(clocks.Clock(), 1)
-        request = httpcalls.Request('GET', servers.HEALTH_PATH)
+        caller = httpclient.Client(clocks.Clock(), 1)
+        request = httpclient.Request('GET', servers.HEALTH_PATH)
         caller.call(self.address, request, 5_000.0)
         self.server.silence_connections(None)
         self.assertEqual(
             caller.call(self.address, request, 100.0).reason, _Reason.TIMED_OUT)
 
     def test_a_connection_that_does_not_come_about_has_a_limit_of_its_own(self):
-        caller = httpcalls.Caller(clocks.Clock(), 1)
-        request = httpcalls.Request('GET', servers.HEALTH_PATH)
+        caller = httpclient.Client(clocks.Clock(), 1)
+        request = httpclient.Request('GET', servers.HEALTH_PATH)
         with socket.create_server(('127.0.0.1', 0), backlog=0) as full:
             host, port = full.getsockname()
             waiting = socket.create_connection((host, port), 1.0)
@@ -153,7 +153,7 @@
 
     def call_at_once(self, caller, limit_ms):
         """Makes three calls that are all under way at the same time."""
-        request = httpcalls.Request('GET', servers.HEALTH_PATH)
+        request = httpclient.Request('GET', servers.HEALTH_PATH)
         before = self.server.list_connections()
         self.state.frozen_until = float('inf')
         with futures.ThreadPoolExecutor(3) as threads:
@@ -167,17 +167,17 @@
             return [call.result() for call in calls]
 
     def test_idle_connections_beside_a_silent_one_are_not_used_again(self):
-        caller = httpcalls.Caller(clocks.Clock(), 4)
+        caller = httpclient.Client(clocks.Clock(), 4)
         self.call_at_once(caller, 20_000.0)
         self.server.silence_connections(None)
-        request = httpcalls.Request('GET', servers.HEALTH_PATH)
+        request = httpclient.Request('GET', servers.HEALTH_PATH)
         lost = caller.call(self.address, request, 100.0)
         self.assertEqual(lost.reason, _Reason.TIMED_OUT)
         replies = self.call_at_once(caller, 20_000.0)
         self.assertEqual([reply.status for reply in replies], [200] * 3)
 
     def test_connection_that_timed_out_is_not_used_again(self):
-        caller = httpcalls.Caller(clocks.Clock(), 4)
+        caller = httpclient.Client(clocks.Clock(), 4)
         seen = []
 
         def handle(call):
@@ -189,10 +189,10 @@
         release = threading.Event()
         address = self.serve(handle)
         self.addCleanup(release.set)
-        caller.call(address, httpcalls.Request('GET', '/'), 5_000.0)
-        result = caller.call(address, httpcalls.Request('GET', '/slow'), 100.0)
+        caller.call(address, httpclient.Request('GET', '/'), 5_000.0)
+        result = caller.call(address, httpclient.Request('GET', '/slow'), 100.0)
         self.assertEqual(result.reason, _Reason.TIMED_OUT)
-        result = caller.call(address, httpcalls.Request('GET', '/'), 5_000.0)
+        result = caller.call(address, httpclient.Request('GET', '/'), 5_000.0)
         self.assertEqual(result.status, 200)
         self.assertIs(seen[0], seen[1])
         self.assertIsNot(seen[1], seen[2])
