--- a/lentilmoor/adapters.py
+++ b/lentilmoor/adapters.py
@@ -17,7 +17,7 @@
 from lentilmoor import routes
 from lentilmoor import runs
 from lentilmoor import servers
-from lentilmoor import tries
+from lentilmoor import transport
 
 _Reason = outcomes.Reason
 _VIA = '1.1 lentilmoor'
@@ -64,14 +64,15 @@
             pool.close_stale()
 
 
-Send = Callable[[routes.Straight, runs.Outgoing], tries.Try]
-Hand = Callable[[routes.Relay, runs.Outgoing], tries.Try]
+Send = Callable[[routes.Straight, runs.Outgoing], transport.Attempt]
+Hand = Callable[[routes.Relay, runs.Outgoing], transport.Attempt]
 
 
 def make_send(pools: Pools, clock: clocks.Clock) -> Send:
     """Returns the closure that tries a call at a server."""
 
-    def send(route: routes.Straight, outgoing: runs.Outgoing) -> tries.Try:
+    def send(route: routes.Straight,
+             outgoing: runs.Outgoing) -> transport.Attempt:
         call = outgoing.call
         remaining_ms = call.deadline - clock.now()
         if remaining_ms <= 0:
@@ -81,11 +82,11 @@
             headers,
             servers.OrderHeaders(call.request_id, remaining_ms, call.key,
                                  call.point, route.epoch, route.sequence))
-        sent = tries.send_order(
+        sent = transport.send_request(
             pools.find(route.server.address),
             _make_order(outgoing, call.target, headers, remaining_ms))
         result = sent.result
-        if not isinstance(result, tries.Answer):
+        if not isinstance(result, transport.Answer):
             return sent
         reason = servers.read_refusal(result.headers, result.status)
         if reason is None:
@@ -103,7 +104,7 @@
 def make_hand(pools: Pools, clock: clocks.Clock, secret: str) -> Hand:
     """Returns the closure that hands a call over to another entry."""
 
-    def hand(route: routes.Relay, outgoing: runs.Outgoing) -> tries.Try:
+    def hand(route: routes.Relay, outgoing: runs.Outgoing) -> transport.Attempt:
         call = outgoing.call
         remaining_ms = call.deadline - clock.now()
         if remaining_ms <= 0:
@@ -117,7 +118,7 @@
             headers[header_names.RELAY_SUSPECT] = 'yes'
         headers[header_names.DEADLINE_MS] = str(max(1, int(remaining_ms)))
         target = f'/{call.team}/{call.service}{call.target}'
-        sent = tries.send_order(
+        sent = transport.send_request(
             pools.find(route.address),
             _make_order(outgoing, target, headers, remaining_ms))
         if isinstance(sent.result, outcomes.NotRun):
@@ -131,23 +132,24 @@
     return hand
 
 
-_LATE = tries.Try(
+_LATE = transport.Attempt(
     outcomes.NotRun(_Reason.DEADLINE_PASSED,
                     'the deadline passed before it was sent'))
 
 
 def _make_order(outgoing: runs.Outgoing, target: str, headers: dict[str, str],
-                remaining_ms: float) -> tries.Order:
+                remaining_ms: float) -> transport.OutboundRequest:
     call, body = outgoing.call, outgoing.body
-    return tries.Order(method=call.raw.method,
-                       target=target,
-                       headers=headers,
-                       body=body.payload(),
-                       chunked=not body.whole and body.length is None,
-                       remaining_ms=remaining_ms,
-                       repeatable=call.repeatable,
-                       fresh=outgoing.fresh,
-                       service_ms=outgoing.service_ms)
+    return transport.OutboundRequest(method=call.raw.method,
+                                     target=target,
+                                     headers=headers,
+                                     body=body.payload(),
+                                     chunked=not body.whole and
+                                     body.length is None,
+                                     remaining_ms=remaining_ms,
+                                     idempotent=call.repeatable,
+                                     new_connection=outgoing.fresh,
+                                     mean_service_ms=outgoing.service_ms)
 
 
 def _copy_headers(outgoing: runs.Outgoing,
@@ -175,7 +177,7 @@
     return headers
 
 
-def _read_outcome(answer: tries.Answer) -> tries.Result:
+def _read_outcome(answer: transport.Answer) -> transport.Result:
     """Reads an entry's answer: a server's, or the entry's own refusal."""
     told = {
         name.lower(): value
--- a/lentilmoor/attempts.py
+++ b/lentilmoor/attempts.py
@@ -18,7 +18,7 @@
 from lentilmoor import queues
 from lentilmoor import routes
 from lentilmoor import runs
-from lentilmoor import tries
+from lentilmoor import transport
 
 _Reason = outcomes.Reason
 _End = dispatchers.TryEnd
@@ -54,7 +54,7 @@
 
 def try_server(
     run: runs.Run, route: routes.Straight
-) -> tries.Try | routes.Relay | outcomes.NotRun | NotTried:
+) -> transport.Attempt | routes.Relay | outcomes.NotRun | NotTried:
     """Tries a server.
 
     Args:
@@ -81,14 +81,15 @@
         finish(_End.ABANDONED)
         raise
     result = sent.result
-    if isinstance(result, tries.Answer) and result.rest is not None:
+    if isinstance(result,
+                  transport.Answer) and result.remaining_chunks is not None:
         _finish_later(result, finish)
     else:
         finish(_judge(result), sent.opened_at)
     return sent
 
 
-def _send(run: runs.Run, route: routes.Straight) -> tries.Try:
+def _send(run: runs.Run, route: routes.Straight) -> transport.Attempt:
     gate = run.dispatcher.gate_of(run.call, route.server.id)
     with run.span.child('try') as span:
         span.note('server', route.server.id)
@@ -193,9 +194,10 @@
     run.wiring.spread_crash(evidence)
 
 
-def _finish_later(answer: tries.Answer, finish: Callable[[_End], None]) -> None:
+def _finish_later(answer: transport.Answer, finish: Callable[[_End],
+                                                             None]) -> None:
     """Keeps a try open until its streamed answer has ended or is given up."""
-    chunks, close = answer.rest, answer.close
+    chunks, close = answer.remaining_chunks, answer.close
     finished = False
 
     def end(how: _End) -> None:
@@ -210,17 +212,17 @@
     def stream():
         try:
             yield from chunks
-        except tries.CutError:
+        except transport.TruncatedAnswerError:
             end(_End.LOST)
             raise
         end(_End.ANSWERED)
 
-    answer.rest = stream()
+    answer.remaining_chunks = stream()
     answer.close = lambda: end(_End.ABANDONED)
 
 
-def _judge(result: tries.Result) -> _End:
-    if isinstance(result, tries.Answer):
+def _judge(result: transport.Result) -> _End:
+    if isinstance(result, transport.Answer):
         return _End.ANSWERED
     return _ENDS.get(result.reason, _End.SHED)
 
--- a/lentilmoor/claiming.py
+++ b/lentilmoor/claiming.py
@@ -22,7 +22,7 @@
 from lentilmoor import outcomes
 from lentilmoor import peers
 from lentilmoor import runs
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.protocol import peer_pb2
 
 ASK_TIMEOUT_MS = 1_200.0
@@ -158,7 +158,7 @@
         return None
 
 
-def _read_verdict(reply: peer_pb2.ClaimReply) -> tries.Result:
+def _read_verdict(reply: peer_pb2.ClaimReply) -> transport.Result:
     if reply.verdict == _Verdict.ANSWERED:
         return _read_answer(reply.answer)
     if reply.verdict == _Verdict.RUNNING:
@@ -178,14 +178,14 @@
                            reply.retry_after_ms or RETRY_AFTER_MS)
 
 
-def _read_answer(kept: peer_pb2.StoredAnswer) -> tries.Answer:
+def _read_answer(kept: peer_pb2.StoredAnswer) -> transport.Answer:
     headers = [(item.name, item.value) for item in kept.headers]
-    return tries.make_whole(kept.status, headers, kept.body)
+    return transport.make_complete_answer(kept.status, headers, kept.body)
 
 
 def _settle_result(dispatcher: dispatchers.Dispatcher, lines: Lines,
                    message: peer_pb2.ClaimRequest,
-                   result: tries.Result) -> None:
+                   result: transport.Result) -> None:
     if isinstance(result, outcomes.NotRun):
         _settle(dispatcher, lines, message, not_run=True)
         return
@@ -195,8 +195,8 @@
     _settle(dispatcher, lines, message, answer=_keep_answer(result))
 
 
-def _keep_answer(answer: tries.Answer) -> peer_pb2.StoredAnswer | None:
-    if answer.rest is not None or len(answer.body) > MAX_KEPT_BODY:
+def _keep_answer(answer: transport.Answer) -> peer_pb2.StoredAnswer | None:
+    if answer.remaining_chunks is not None or len(answer.body) > MAX_KEPT_BODY:
         return None
     kept = peer_pb2.StoredAnswer(status=answer.status, body=answer.body)
     for name, value in answer.headers:
--- a/lentilmoor/dispatch.py
+++ b/lentilmoor/dispatch.py
@@ -17,7 +17,7 @@
 from lentilmoor import routes
 from lentilmoor import runs
 from lentilmoor import traces
-from lentilmoor import tries
+from lentilmoor import transport
 
 # How long a request waits for a snapshot that can serve it: a little more
 # than the second within which a lost server's keys are served again.
@@ -43,7 +43,7 @@
 
 def dispatch_call(dispatcher: dispatchers.Dispatcher, wiring: runs.Wiring,
                   call: calls.Call, body: bodies.Body,
-                  span: traces.Span) -> tries.Result:
+                  span: traces.Span) -> transport.Result:
     """Carries one call to its outcome.
 
     Args:
@@ -74,7 +74,7 @@
     return result
 
 
-def _finish(run: runs.Run) -> tries.Result:
+def _finish(run: runs.Run) -> transport.Result:
     """Routes and tries until there is an outcome."""
     retries.note_first_try(run.dispatcher.budget_of(run.call))
     for _ in range(MAX_ROUTES):
@@ -124,7 +124,7 @@
                              dispatcher.instance, run.avoid, dispatcher.chance)
 
 
-def _relay(run: runs.Run, route: routes.Relay) -> tries.Result | None:
+def _relay(run: runs.Run, route: routes.Relay) -> transport.Result | None:
     """Hands the call over; None if another route is to be found."""
     with run.span.child('relay') as span:
         span.note('entry', route.instance)
@@ -136,7 +136,7 @@
                           run.fresh,
                           suspect=run.suspect))
     result = sent.result
-    if isinstance(result, tries.Answer):
+    if isinstance(result, transport.Answer):
         return result
     if isinstance(result, outcomes.Unknown):
         run.avoid |= {route.instance}
@@ -147,7 +147,8 @@
     return runs.conclude(run, result)
 
 
-def _go_straight(run: runs.Run, route: routes.Straight) -> tries.Result | None:
+def _go_straight(run: runs.Run,
+                 route: routes.Straight) -> transport.Result | None:
     """Tries a server; None if another route is to be found."""
     if not run.suspect:
         return _try_server(run, route)
@@ -161,7 +162,8 @@
     return _try_alone(run, route)
 
 
-def _try_alone(run: runs.Run, route: routes.Straight) -> tries.Result | None:
+def _try_alone(run: runs.Run,
+               route: routes.Straight) -> transport.Result | None:
     """Tries a server with no other suspect running there."""
     suspects = run.dispatcher.suspects
     fingerprint = runs.make_fingerprint(run.call, run.body)
@@ -178,7 +180,8 @@
         quarantine.release_suspect_slot(suspects, server)
 
 
-def _try_server(run: runs.Run, route: routes.Straight) -> tries.Result | None:
+def _try_server(run: runs.Run,
+                route: routes.Straight) -> transport.Result | None:
     sent = attempts.try_server(run, route)
     if isinstance(sent, attempts.NotTried):
         return None
@@ -186,7 +189,7 @@
         return _relay(run, sent)
     if isinstance(sent, outcomes.NotRun):
         return runs.conclude(run, sent)
-    if isinstance(sent.result, tries.Answer):
+    if isinstance(sent.result, transport.Answer):
         return sent.result
     return followups.weigh(run, route.server.id, sent,
                            (route.epoch, route.sequence))
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -17,7 +17,7 @@
 from lentilmoor import outcomes
 from lentilmoor import shutdowns
 from lentilmoor import signals
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import control
 from lentilmoor.edge import controlstate
 from lentilmoor.edge import departures
@@ -305,7 +305,7 @@
           outcome: requests.Outcome) -> None:
     """Writes a line for a request that no server answered."""
     age_ms = round(entry.clock.now() - request.arrived_at)
-    if isinstance(outcome, tries.Answer):
+    if isinstance(outcome, transport.Answer):
         entry.measures.record('answered', str(outcome.status), age_ms)
         return
     if isinstance(outcome, exchange.Gone):
--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -23,7 +23,7 @@
 from lentilmoor import connections
 from lentilmoor import headers as header_names
 from lentilmoor import outcomes
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import ports
 
 # Answers of earlier requests that are skipped before a connection is given up.
@@ -69,7 +69,7 @@
       opened_at: When its connection was opened, ms.
     """
 
-    answer: tries.Answer
+    answer: transport.Answer
     fields: ports.AnswerHeaders
     opened_at: float = math.inf
 
@@ -327,7 +327,7 @@
         pool.release(taken)
     else:
         pool.discard(taken)
-    answer = tries.make_whole(response.status, headers, body)
+    answer = transport.make_complete_answer(response.status, headers, body)
     return Reply(answer, fields, taken.opened_at)
 
 
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -15,7 +15,7 @@
 from lentilmoor import problems
 from lentilmoor import responses
 from lentilmoor import shutdowns
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import exchange
 from lentilmoor.edge import ports
 from lentilmoor.edge import requests
@@ -285,7 +285,7 @@
     if isinstance(outcome, exchange.Gone):
         request.close_connection = True
         request.sent_headers = True  # Nobody reads an answer.
-    elif isinstance(outcome, tries.Answer):
+    elif isinstance(outcome, transport.Answer):
         responses.write_answer(request, call.fields.request_id, outcome)
     else:
         _refuse(request, outcome)
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -9,7 +9,7 @@
 from lentilmoor import connections
 from lentilmoor import outcomes
 from lentilmoor import quarantine
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import matching
@@ -168,7 +168,7 @@
     generator: random.Random = dataclasses.field(default_factory=random.Random)
 
 
-Outcome = tries.Answer | outcomes.NotRun | outcomes.Unknown | exchange.Gone
+Outcome = transport.Answer | outcomes.NotRun | outcomes.Unknown | exchange.Gone
 
 
 @dataclasses.dataclass(slots=True, eq=False)
@@ -198,7 +198,7 @@
     sent_to: set[str] = dataclasses.field(default_factory=set)
     excluded_servers: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
-    last_failure: tries.Answer | None = None
+    last_failure: transport.Answer | None = None
     is_trial: bool = False
 
     @property
--- a/lentilmoor/followups.py
+++ b/lentilmoor/followups.py
@@ -5,7 +5,7 @@
 from lentilmoor import retries
 from lentilmoor import runs
 from lentilmoor import tables
-from lentilmoor import tries
+from lentilmoor import transport
 
 _Reason = outcomes.Reason
 
@@ -14,8 +14,8 @@
     (_Reason.DEADLINE_PASSED, _Reason.BAD_REQUEST, _Reason.CANCELLED))
 
 
-def weigh(run: runs.Run, server: str, sent: tries.Try,
-          version: tuple[int, int]) -> tries.Result | None:
+def weigh(run: runs.Run, server: str, sent: transport.Attempt,
+          version: tuple[int, int]) -> transport.Result | None:
     """Decides whether another try follows; None if it does."""
     dispatcher, call, result = run.dispatcher, run.call, sent.result
     now = dispatcher.clock.now()
--- a/lentilmoor/gateways.py
+++ b/lentilmoor/gateways.py
@@ -22,7 +22,7 @@
 from lentilmoor import responses
 from lentilmoor import shutdowns
 from lentilmoor import traces
-from lentilmoor import tries
+from lentilmoor import transport
 
 IDLE_TIMEOUT_S = 30
 SMALLEST_HEADER_LIMIT = 64 * 1024
@@ -34,7 +34,8 @@
 _BAD_LENGTH = outcomes.NotRun(
     _Reason.BAD_REQUEST, 'Content-Length: expected one length of at least 0')
 
-DispatchCall = Callable[[calls.Call, bodies.Body, traces.Span], tries.Result]
+DispatchCall = Callable[[calls.Call, bodies.Body, traces.Span],
+                        transport.Result]
 """Carries a call to its outcome."""
 
 LogError = Callable[..., None]
@@ -134,7 +135,7 @@
 
 
 def _dispatch_body(call: calls.Call, dispatch_call: DispatchCall,
-                   span: traces.Span) -> tries.Result:
+                   span: traces.Span) -> transport.Result:
     try:
         body = bodies.Body(call.raw.read, call.raw.length,
                            call.settings.limits.body_bytes)
@@ -187,9 +188,9 @@
 
 
 def _measure(dispatcher: dispatchers.Dispatcher, call: calls.Call,
-             result: tries.Result, took_ms: float) -> None:
+             result: transport.Result, took_ms: float) -> None:
     outcome, reason = problems.Outcome.ANSWERED, ''
-    if not isinstance(result, tries.Answer):
+    if not isinstance(result, transport.Answer):
         outcome = (problems.Outcome.NOT_RUN if isinstance(
             result, outcomes.NotRun) else problems.Outcome.UNKNOWN)
         reason = result.reason.value
@@ -209,8 +210,8 @@
 
 def _write_result(request: cheroot_server.HTTPRequest,
                   dispatcher: dispatchers.Dispatcher, call: calls.Call,
-                  result: tries.Result) -> None:
-    if isinstance(result, tries.Answer):
+                  result: transport.Result) -> None:
+    if isinstance(result, transport.Answer):
         responses.write_answer(request, call.request_id, result)
     else:
         responses.write_problem(request,
--- a/lentilmoor/responses.py
+++ b/lentilmoor/responses.py
@@ -16,7 +16,7 @@
 from lentilmoor import bodies
 from lentilmoor import headers as header_names
 from lentilmoor import problems
-from lentilmoor import tries
+from lentilmoor import transport
 
 _Request = cheroot_server.HTTPRequest
 _Header = tuple[bytes, bytes]
@@ -32,7 +32,7 @@
 
 
 def write_answer(request: _Request, request_id: str,
-                 answer: tries.Answer) -> None:
+                 answer: transport.Answer) -> None:
     """Writes a server's answer; closes it if the caller goes away."""
     headers = [(name.encode('latin-1'), value.encode('latin-1'))
                for name, value in answer.headers]
@@ -40,7 +40,7 @@
     headers.append((_REQUEST_ID, request_id.encode()))
     status = _PHRASES.get(answer.status, str(answer.status).encode())
     try:
-        if answer.rest is None:
+        if answer.remaining_chunks is None:
             _write_whole(request, status, headers, answer.body)
         else:
             _leave_body(request)
@@ -122,11 +122,11 @@
     request.send_headers()
 
 
-def _stream(request: _Request, answer: tries.Answer) -> None:
+def _stream(request: _Request, answer: transport.Answer) -> None:
     try:
-        for chunk in answer.rest:
+        for chunk in answer.remaining_chunks:
             request.write(chunk)
-    except tries.CutError:
+    except transport.TruncatedAnswerError:
         _cut(request)
 
 
--- a/lentilmoor/runs.py
+++ b/lentilmoor/runs.py
@@ -12,7 +12,7 @@
 from lentilmoor import retries
 from lentilmoor import routes
 from lentilmoor import traces
-from lentilmoor import tries
+from lentilmoor import transport
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -23,10 +23,10 @@
       settle: Called once with what came of it.
     """
 
-    settle: Callable[[tries.Result], None]
+    settle: Callable[[transport.Result], None]
 
 
-ClaimResult = Claimed | tries.Result
+ClaimResult = Claimed | transport.Result
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -61,8 +61,8 @@
       spread_crash: Sends crash evidence to the peers at once.
     """
 
-    send: Callable[[routes.Straight, Outgoing], tries.Try]
-    relay: Callable[[routes.Relay, Outgoing], tries.Try]
+    send: Callable[[routes.Straight, Outgoing], transport.Attempt]
+    relay: Callable[[routes.Relay, Outgoing], transport.Attempt]
     claim: Callable[[calls.Call, bytes], ClaimResult]
     spread_crash: Callable[[quarantine.Evidence], None]
 
@@ -105,7 +105,7 @@
         fingerprints.UNKNOWN_LENGTH if length is None else length)
 
 
-def conclude(run: Run, refusal: outcomes.NotRun) -> tries.Result:
+def conclude(run: Run, refusal: outcomes.NotRun) -> transport.Result:
     """Returns a refusal, as unknown if an earlier try may have run."""
     if run.progress.may_have_run:
         return outcomes.Unknown(refusal.reason, refusal.detail)
--- a/lentilmoor/tries.py
+++ b/lentilmoor/transport.py
@@ -21,16 +21,16 @@
 
 CHUNK_BYTES = 64 * 1024
 # A streamed answer that brings nothing for so long is cut.
-IDLE_TIMEOUT_MS = 10_000.0
+STREAM_IDLE_TIMEOUT_MS = 10_000.0
 # A used connection counts as silent only after this many mean times.
-SILENCE_FACTOR = 6.0
+REUSED_TIMEOUT_FACTOR = 6.0
 
 _Reason = outcomes.Reason
 _NO_BODY_STATUSES = frozenset((204, 304))
 _BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError)
 
 
-class CutError(Exception):
+class TruncatedAnswerError(Exception):
     """The answer ended before its announced end."""
 
 
@@ -42,15 +42,15 @@
       status: HTTP status.
       headers: Name and value pairs, without hop-by-hop headers.
       body: The whole body, if it was small enough to be read at once.
-      rest: Chunks that follow `body`, or None if `body` is whole. Iterating
-        raises `CutError` if the answer ends early.
-      close: Gives the connection up; to be called if `rest` is not used up.
+      remaining_chunks: Chunks that follow `body`, or None if `body` is whole.
+        Iterating raises `TruncatedAnswerError` if the answer ends early.
+      close: Gives the connection up; to be called if not all chunks are read.
     """
 
     status: int
     headers: list[tuple[str, str]]
     body: bytes
-    rest: Iterator[bytes] | None
+    remaining_chunks: Iterator[bytes] | None
     close: Callable[[], None]
 
 
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Order:
+class OutboundRequest:
     """What one try sends.
 
     Attributes:
@@ -68,9 +68,9 @@
       body: Whole body, an iterator of its chunks, or None.
       chunked: Whether the body's length is not known.
       remaining_ms: Time left until the deadline.
-      repeatable: Whether the request may be run more than once.
-      fresh: Whether only a new connection will do.
-      service_ms: Mean time of service at the server.
+      idempotent: Whether the request may be run more than once.
+      new_connection: Whether only a new connection will do.
+      mean_service_ms: Mean time of service at the server.
     """
 
     method: str
@@ -79,13 +79,13 @@
     body: bytes | Iterator[bytes] | None
     chunked: bool
     remaining_ms: float
-    repeatable: bool
-    fresh: bool = False
-    service_ms: float = 0.0
+    idempotent: bool
+    new_connection: bool = False
+    mean_service_ms: float = 0.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Try:
+class Attempt:
     """One try and what it tells of its connection.
 
     Attributes:
@@ -99,13 +99,13 @@
     opened_at: float = 0.0
 
 
-def make_whole(status: int, headers: list[tuple[str, str]],
-               body: bytes) -> Answer:
+def make_complete_answer(status: int, headers: list[tuple[str, str]],
+                         body: bytes) -> Answer:
     """Returns an answer that is here as a whole."""
     return Answer(status, headers, body, None, _do_nothing)
 
 
-def send_order(pool: connections.Pool, order: Order) -> Try:
+def send_request(pool: connections.Pool, order: OutboundRequest) -> Attempt:
     """Sends a request and reads the start of its answer.
 
     Args:
@@ -115,14 +115,15 @@
     Returns:
       The answer (whole if it is small), or why there is none.
     """
-    taken = pool.acquire(order.repeatable, order.fresh, order.remaining_ms)
+    taken = pool.acquire(order.idempotent, order.new_connection,
+                         order.remaining_ms)
     if isinstance(taken, outcomes.Failed):
-        return Try(outcomes.NotRun(taken.reason, taken.detail))
-    return Try(_exchange(pool, taken, order), taken.reused, taken.opened_at)
+        return Attempt(outcomes.NotRun(taken.reason, taken.detail))
+    return Attempt(_exchange(pool, taken, order), taken.reused, taken.opened_at)
 
 
 def _exchange(pool: connections.Pool, taken: connections.Connection,
-              order: Order) -> Result:
+              order: OutboundRequest) -> Result:
     try:
         response = _send(pool.limits, taken, order)
     except bodies.BodyError as error:
@@ -138,10 +139,10 @@
 
 
 def _send(rules: connections.PoolLimits, taken: connections.Connection,
-          order: Order) -> urllib3.HTTPResponse:
-    wait_ms = connections.find_answer_timeout(rules, taken, order.repeatable,
+          order: OutboundRequest) -> urllib3.HTTPResponse:
+    wait_ms = connections.find_answer_timeout(rules, taken, order.idempotent,
                                               order.remaining_ms)
-    wait_ms = min(max(wait_ms, order.service_ms * SILENCE_FACTOR),
+    wait_ms = min(max(wait_ms, order.mean_service_ms * REUSED_TIMEOUT_FACTOR),
                   order.remaining_ms)
     taken.http.timeout = wait_ms / clocks.MS_PER_S
     try:
@@ -166,7 +167,7 @@
                if name.lower() not in header_names.HOP_BY_HOP]
     if method == 'HEAD' or response.status in _NO_BODY_STATUSES:
         pool.release(taken)
-        return make_whole(response.status, headers, b'')
+        return make_complete_answer(response.status, headers, b'')
     length = response.length_remaining
     if length is None and not response.chunked:
         pool.discard(taken)
@@ -184,17 +185,17 @@
         return outcomes.Unknown(_Reason.ANSWER_CUT,
                                 'the answer ended before its announced end')
     pool.release(taken)
-    return make_whole(response.status, headers, body)
+    return make_complete_answer(response.status, headers, body)
 
 
 def _stream(pool: connections.Pool, taken: connections.Connection,
             response: urllib3.HTTPResponse) -> Iterator[bytes]:
     if taken.http.sock is not None:
-        taken.http.sock.settimeout(IDLE_TIMEOUT_MS / clocks.MS_PER_S)
+        taken.http.sock.settimeout(STREAM_IDLE_TIMEOUT_MS / clocks.MS_PER_S)
     try:
         yield from response.stream(CHUNK_BYTES, decode_content=False)
     except _BROKEN as error:
-        raise CutError(str(error)) from error
+        raise TruncatedAnswerError(str(error)) from error
     pool.release(taken)
 
 
--- a/tests/pathhelp.py
+++ b/tests/pathhelp.py
@@ -21,7 +21,7 @@
 from lentilmoor import slices
 from lentilmoor import tables
 from lentilmoor import traces
-from lentilmoor import tries
+from lentilmoor import transport
 
 TEAM = 'shop'
 SERVICE = 'stock'
@@ -159,12 +159,15 @@
 
 def _next(results: list):
     made = results.pop(0) if len(results) > 1 else results[0]
-    return made if isinstance(made, tries.Try) else tries.Try(made)
+    return made if isinstance(made,
+                              transport.Attempt) else transport.Attempt(made)
 
 
-def ok(body: bytes = b'ok') -> tries.Answer:
+def ok(body: bytes = b'ok') -> transport.Answer:
     """Returns a whole answer, with its length as servers send it."""
-    return tries.make_whole(200, [('Content-Length', str(len(body)))], body)
+    return transport.make_complete_answer(200,
+                                          [('Content-Length', str(len(body)))],
+                                          body)
 
 
 def not_run(reason: outcomes.Reason) -> outcomes.NotRun:
@@ -173,7 +176,7 @@
 
 
 def dispatch_one(dispatcher: dispatchers.Dispatcher, wires: Wires,
-                 call: calls.Call) -> tries.Result:
+                 call: calls.Call) -> transport.Result:
     """Carries one call to its outcome."""
     body = bodies.Body(call.raw.read, call.raw.length, 1 << 20)
     return dispatch.dispatch_call(dispatcher, wires.wiring(), call, body,
--- a/tests/test_claiming.py
+++ b/tests/test_claiming.py
@@ -12,7 +12,7 @@
 from lentilmoor import inbox
 from lentilmoor import outcomes
 from lentilmoor import runs
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.protocol import peer_pb2
 from tests import pathhelp
 
@@ -61,7 +61,7 @@
 
     def test_a_granted_claim_is_settled_by_its_result(self):
         long = b'x' * (claiming.MAX_KEPT_BODY + 1)
-        streamed = tries.Answer(200, [], b'', iter(()), lambda: None)
+        streamed = transport.Answer(200, [], b'', iter(()), lambda: None)
         for result, expected in ((pathhelp.not_run(_Reason.NO_OWNER),
                                   'not_run'),
                                  (outcomes.Unknown(_Reason.TIMED_OUT),
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -8,7 +8,7 @@
 from lentilmoor import routes
 from lentilmoor import runs
 from lentilmoor import tables
-from lentilmoor import tries
+from lentilmoor import transport
 from tests import pathhelp
 from tests import waits
 
@@ -167,7 +167,8 @@
 
     def _stream(self, chunks):
         closed = []
-        answer = tries.Answer(200, [], b'', chunks, lambda: closed.append(1))
+        answer = transport.Answer(200, [], b'', chunks,
+                                  lambda: closed.append(1))
         self.wires.results = [answer]
         return self._dispatch(), closed
 
@@ -176,16 +177,16 @@
 
     def test_the_slot_is_kept_until_the_stream_has_ended(self):
         answer, closed = self._stream(iter((b'1', b'2')))
-        next(answer.rest)
+        next(answer.remaining_chunks)
         self.assertEqual(self._in_flight(), 1)
-        self.assertEqual(list(answer.rest), [b'2'])
+        self.assertEqual(list(answer.remaining_chunks), [b'2'])
         self._assert_idle()
         answer.close()
         self.assertEqual(closed, [])
 
     def test_a_stream_given_up_gives_slot_and_connection_back(self):
         answer, closed = self._stream(iter((b'1', b'2')))
-        next(answer.rest)
+        next(answer.remaining_chunks)
         answer.close()
         answer.close()
         self._assert_idle()
@@ -195,11 +196,11 @@
 
         def cut():
             yield b'1'
-            raise tries.CutError('cut')
+            raise transport.TruncatedAnswerError('cut')
 
         answer, closed = self._stream(cut())
-        with self.assertRaises(tries.CutError):
-            list(answer.rest)
+        with self.assertRaises(transport.TruncatedAnswerError):
+            list(answer.remaining_chunks)
         self._assert_idle()
         self.assertEqual(closed, [1])
         self.assertEqual(
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -11,7 +11,7 @@
 from lentilmoor import connections
 from lentilmoor import logs
 from lentilmoor import outcomes
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import exchange
 from lentilmoor.edge import forwarding
 from lentilmoor.edge import keyranges
@@ -129,7 +129,7 @@
             timer.start()
             self.addCleanup(timer.join)
         outcome = self._forward()
-        self.assertIsInstance(outcome, tries.Answer)
+        self.assertIsInstance(outcome, transport.Answer)
         self.assertEqual(outcome.status, 200)
         self.assertEqual(self.after.arrivals, 2)
         self.assertEqual(self.before.arrivals, 1)
@@ -148,7 +148,7 @@
             shared_work_ms=220.0)
         threading.Timer(0.18, self._publish, (self.after.id,)).start()
         outcome = self._forward()
-        self.assertIsInstance(outcome, tries.Answer)
+        self.assertIsInstance(outcome, transport.Answer)
         self.assertEqual(outcome.status, 200)
         self.assertEqual((self.before.arrivals, self.after.arrivals), (1, 1))
         self.assertTrue(self.forwarder.report_now.is_set())
@@ -266,7 +266,7 @@
             work_ms=4_000.0, answer_count=100)
         until = time.monotonic() + 3.0
         while time.monotonic() < until:
-            if isinstance(self._forward(), tries.Answer):
+            if isinstance(self._forward(), transport.Answer):
                 return
             time.sleep(0.05)
         self.fail('refused for 3 s, though the server answers in 5 ms')
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -13,7 +13,7 @@
 from lentilmoor import outcomes
 from lentilmoor import shutdowns
 from lentilmoor import traces
-from lentilmoor import tries
+from lentilmoor import transport
 from tests import pathhelp
 from tests import waits
 
@@ -21,7 +21,7 @@
 _SECRET = 'peers-secret'
 _PATH = f'/{pathhelp.TEAM}/{pathhelp.SERVICE}/lots'
 _KEY = {'Lentilmoor-Key': 'k'}
-_CHUNK = b'x' * tries.CHUNK_BYTES
+_CHUNK = b'x' * transport.CHUNK_BYTES
 _CHUNKS = 64
 _LIMIT = 8 * 1024 * 1024
 _SETTINGS = pathhelp.make_settings(limits=models.Limits(body_bytes=_LIMIT))
@@ -218,8 +218,8 @@
 
     def _stream(self, chunks, headers=()):
         closed = threading.Event()
-        self.answer = lambda call, body: tries.Answer(200, list(headers), b'',
-                                                      chunks, closed.set)
+        self.answer = lambda call, body: transport.Answer(
+            200, list(headers), b'', chunks, closed.set)
         return closed
 
     def test_a_long_chunk_is_not_read_into_memory_at_once(self):
@@ -259,7 +259,7 @@
 
         def cut():
             yield b'half'
-            raise tries.CutError('cut')
+            raise transport.TruncatedAnswerError('cut')
 
         for headers in ([], [('Content-Length', '9')]):
             closed = self._stream(cut(), headers)
--- a/tests/test_tries.py
+++ b/tests/test_tries.py
@@ -11,19 +11,19 @@
 from lentilmoor import routes
 from lentilmoor import runs
 from lentilmoor import traces
-from lentilmoor import tries
+from lentilmoor import transport
 from standins import backend
 from standins import backend_state
 from standins import serving
 from tests import pathhelp
 
 _Reason = outcomes.Reason
-_LONG = 5 * tries.CHUNK_BYTES
+_LONG = 5 * transport.CHUNK_BYTES
 _WHOLE = pathhelp.HEAD + b'Content-Length: 2\r\n\r\nok'
 
 
-def _order(**fields) -> tries.Order:
-    return tries.Order(
+def _order(**fields) -> transport.OutboundRequest:
+    return transport.OutboundRequest(
         **{
             'method': 'POST',
             'target': '/x',
@@ -31,7 +31,7 @@
             'body': b'b',
             'chunked': False,
             'remaining_ms': 20_000.0,
-            'repeatable': False
+            'idempotent': False
         } | fields)
 
 
@@ -51,14 +51,14 @@
     def test_a_refused_connection_is_not_run(self):
         with socket.create_server(('127.0.0.1', 0)) as listener:
             address = f'127.0.0.1:{listener.getsockname()[1]}'
-        sent = tries.send_order(pathhelp.make_pool(address), _order())
+        sent = transport.send_request(pathhelp.make_pool(address), _order())
         self.assertIsInstance(sent.result, outcomes.NotRun)
         self.assertIs(sent.result.reason, _Reason.CONNECT_FAILED)
 
     def test_a_whole_answer_keeps_its_connection(self):
         server, pool = self._serve(_WHOLE, _WHOLE)
         for reused in (False, True):
-            sent = tries.send_order(pool, _order())
+            sent = transport.send_request(pool, _order())
             self.assertEqual((sent.result.body, sent.reused), (b'ok', reused))
         self.assertEqual(len(server.accepted), 1)
 
@@ -66,24 +66,24 @@
         for head in (b'Content-Length: 9\r\n\r\nhalf',
                      b'Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n'):
             _, pool = self._serve(pathhelp.HEAD + head + b'CUT', _WHOLE)
-            sent = tries.send_order(pool, _order())
-            if isinstance(sent.result, tries.Answer):
-                with self.assertRaises(tries.CutError):
-                    list(sent.result.rest)
+            sent = transport.send_request(pool, _order())
+            if isinstance(sent.result, transport.Answer):
+                with self.assertRaises(transport.TruncatedAnswerError):
+                    list(sent.result.remaining_chunks)
                 sent.result.close()
             else:
                 self._assert_unknown(sent, _Reason.ANSWER_CUT)
-            self.assertFalse(tries.send_order(pool, _order()).reused)
+            self.assertFalse(transport.send_request(pool, _order()).reused)
 
     def test_a_cut_stream_raises_after_what_came(self):
         half = b'x' * (_LONG // 2)
         head = f'Content-Length: {_LONG}\r\n\r\n'.encode()
         _, pool = self._serve(pathhelp.HEAD + head + half + b'CUT')
-        answer = tries.send_order(pool, _order()).result
+        answer = transport.send_request(pool, _order()).result
         got = bytearray()
-        with self.assertRaises(tries.CutError):
-            for chunk in answer.rest:
-                self.assertLessEqual(len(chunk), tries.CHUNK_BYTES)
+        with self.assertRaises(transport.TruncatedAnswerError):
+            for chunk in answer.remaining_chunks:
+                self.assertLessEqual(len(chunk), transport.CHUNK_BYTES)
                 got += chunk
         self.assertLess(len(got), _LONG)
         answer.close()
@@ -91,21 +91,21 @@
 
     def test_an_answer_without_length_is_unknown(self):
         _, pool = self._serve(pathhelp.HEAD + b'\r\nwhole?CUT')
-        self._assert_unknown(tries.send_order(pool, _order()),
+        self._assert_unknown(transport.send_request(pool, _order()),
                              _Reason.ANSWER_CUT)
 
     def test_a_lost_connection_after_sending_is_unknown(self):
         _, pool = self._serve(b'CUT')
-        self._assert_unknown(tries.send_order(pool, _order()),
+        self._assert_unknown(transport.send_request(pool, _order()),
                              _Reason.CONNECTION_LOST)
 
     def test_after_a_timeout_the_connection_is_not_used_again(self):
         server, pool = self._serve(_WHOLE, None, _WHOLE)
-        tries.send_order(pool, _order())
-        sent = tries.send_order(pool, _order(remaining_ms=100.0))
+        transport.send_request(pool, _order())
+        sent = transport.send_request(pool, _order(remaining_ms=100.0))
         self.assertTrue(sent.reused)
         self._assert_unknown(sent, _Reason.TIMED_OUT)
-        after = tries.send_order(pool, _order())
+        after = transport.send_request(pool, _order())
         self.assertEqual((after.result.body, after.reused), (b'ok', False))
         self.assertEqual(len(server.accepted), 2)
 
@@ -116,7 +116,7 @@
             raise bodies.BodyError('cut')
 
         _, pool = self._serve(None)
-        sent = tries.send_order(pool, _order(body=chunks(), chunked=True))
+        sent = transport.send_request(pool, _order(body=chunks(), chunked=True))
         self._assert_unknown(sent, _Reason.BAD_REQUEST)
         self.assertEqual(pool.state.open_count, 0)
 
@@ -124,9 +124,9 @@
         head = pathhelp.HEAD + b'Content-Length: 99\r\n\r\n'
         _, pool = self._serve(head, b'HTTP/1.1 204 No Content\r\n\r\n')
         self.assertEqual(
-            tries.send_order(pool, _order(method='HEAD',
-                                          body=None)).result.body, b'')
-        after = tries.send_order(pool, _order())
+            transport.send_request(pool, _order(method='HEAD',
+                                                body=None)).result.body, b'')
+        after = transport.send_request(pool, _order())
         self.assertEqual((after.result.status, after.reused), (204, True))
 
 
@@ -160,7 +160,7 @@
     def test_what_a_server_says_as_an_entry_is_dropped(self):
         self.state.switches.check_grants = False
         sent = self._try()
-        self.assertIsInstance(sent.result, tries.Answer)
+        self.assertIsInstance(sent.result, transport.Answer)
         names = {name.lower() for name, _ in sent.result.headers}
         self.assertNotIn('lentilmoor-outcome', names)
         self.assertEqual(len(self.state.list_runs()), 1)
