--- a/lentilmoor/adapters.py
+++ b/lentilmoor/adapters.py
@@ -143,8 +143,8 @@
     return transport.OutboundRequest(method=call.raw.method,
                                      target=target,
                                      headers=headers,
-                                     body=body.payload(),
-                                     chunked=not body.whole and
+                                     body=body.make_payload(),
+                                     chunked=not body.fully_buffered and
                                      body.length is None,
                                      remaining_ms=remaining_ms,
                                      idempotent=call.repeatable,
@@ -165,9 +165,9 @@
         if text.lower() not in dropped:
             headers[text] = value.decode('latin-1')
     headers['Via'] = _VIA
-    if body.whole:
-        if body.start or body.length:
-            headers['Content-Length'] = str(len(body.start))
+    if body.fully_buffered:
+        if body.buffered or body.length:
+            headers['Content-Length'] = str(len(body.buffered))
     elif body.length is not None:
         headers['Content-Length'] = str(body.length)
     traceparent = outgoing.span.traceparent or call.raw.header(
--- a/lentilmoor/bodies.py
+++ b/lentilmoor/bodies.py
@@ -21,11 +21,12 @@
     """The body of one request.
 
     Attributes:
-      start: Its first bytes, at most `BUFFER_BYTES`.
-      whole: Whether `start` is all of it.
-      length: Declared length, or None if it is chunked.
-      sent: Whether anything past `start` has been read for sending.
-      digest: Digest of what has been read.
+      buffered: First bytes of the body, at most `BUFFER_BYTES`.
+      fully_buffered: Whether `buffered` is the whole body.
+      length: Declared length in bytes, or None if the body is chunked.
+      stream_started: Whether `make_payload` has begun to stream the body past
+        the buffer.
+      digest: Digest of the bytes read so far.
     """
 
     def __init__(self, read: Callable[[int], bytes], length: int | None,
@@ -34,22 +35,23 @@
         self._limit = limit
         self._seen = 0
         self.length = length
-        self.sent = False
+        self.stream_started = False
         self.digest = fingerprints.BodyDigest()
-        self.start = b'' if length == 0 else self._read_start()
-        self.whole = len(self.start) < BUFFER_BYTES
-        if self.whole and length is not None and len(self.start) != length:
+        self.buffered = b'' if length == 0 else self._read_start()
+        self.fully_buffered = len(self.buffered) < BUFFER_BYTES
+        if self.fully_buffered and length is not None and len(
+                self.buffered) != length:
             raise BodyError('the body ended before its declared length')
 
     @property
-    def may_resend(self) -> bool:
+    def is_resendable(self) -> bool:
         """Whether the whole body can be sent once more."""
-        return self.whole or not self.sent
+        return self.fully_buffered or not self.stream_started
 
-    def payload(self) -> bytes | Iterator[bytes] | None:
+    def make_payload(self) -> bytes | Iterator[bytes] | None:
         """Returns what a try sends: bytes, or chunks, or None if empty."""
-        if self.whole:
-            return self.start or None
+        if self.fully_buffered:
+            return self.buffered or None
         return self._stream()
 
     def _read_start(self) -> bytes:
@@ -64,8 +66,8 @@
         return b''.join(parts)
 
     def _stream(self) -> Iterator[bytes]:
-        self.sent = True
-        yield self.start
+        self.stream_started = True
+        yield self.buffered
         while chunk := self._read_chunk(BUFFER_BYTES):
             yield chunk
         if self.length is not None and self._seen != self.length:
--- a/lentilmoor/chunks.py
+++ b/lentilmoor/chunks.py
@@ -17,13 +17,13 @@
     """The body of one request.
 
     Attributes:
-      ended: Whether it was read to its end.
+      finished: Whether it was read to its end.
     """
 
     def __init__(self, source: BinaryIO):
         self._source = source
         self._left = 0
-        self.ended = False
+        self.finished = False
 
     def read(self, size: int) -> bytes:
         """Returns at most `size` bytes; b'' at the end.
@@ -34,13 +34,13 @@
         Raises:
           ValueError: The body is malformed or ends early.
         """
-        if self.ended:
+        if self.finished:
             return b''
         if not self._left:
             self._left = self._read_size()
         if not self._left:
             self._read_trailers()
-            self.ended = True
+            self.finished = True
             return b''
         data = self._source.read(min(size, self._left))
         if not data:
--- a/lentilmoor/followups.py
+++ b/lentilmoor/followups.py
@@ -27,7 +27,7 @@
                             reused=sent.reused,
                             retry_after_ms=result.retry_after_ms)
     budget = dispatcher.budget_of(call)
-    if not run.body.may_resend or result.reason in _FINAL:
+    if not run.body.is_resendable or result.reason in _FINAL:
         if isinstance(result, outcomes.NotRun):
             return runs.conclude(run, result)
         return result
--- a/lentilmoor/responses.py
+++ b/lentilmoor/responses.py
@@ -95,7 +95,7 @@
     """
     source = request.rfile
     if request.chunked_read:
-        unread = not source.ended
+        unread = not source.finished
     else:
         unread = not 0 <= source.remaining <= bodies.BUFFER_BYTES
     request.close_connection |= unread
--- a/tests/test_bodies.py
+++ b/tests/test_bodies.py
@@ -18,17 +18,17 @@
     def test_a_small_body_is_whole_and_may_be_sent_again(self):
         for length in (3, None):
             body = _make(b'abc', length)
-            self.assertEqual(body.payload(), b'abc')
-            self.assertEqual(body.payload(), b'abc')
-            self.assertTrue(body.may_resend)
-        self.assertIsNone(_make(b'', 0).payload())
+            self.assertEqual(body.make_payload(), b'abc')
+            self.assertEqual(body.make_payload(), b'abc')
+            self.assertTrue(body.is_resendable)
+        self.assertIsNone(_make(b'', 0).make_payload())
 
     def test_a_body_that_ends_early_is_an_error(self):
         with self.assertRaises(bodies.BodyError):
             _make(b'abc', 4)
         long = _make(b'x' * (_BUFFER + 5), _BUFFER + 6)
         with self.assertRaises(bodies.BodyError):
-            list(long.payload())
+            list(long.make_payload())
 
     def test_a_reader_that_fails_is_an_error(self):
 
@@ -43,7 +43,7 @@
             _make(b'abcd', None, limit=3)
         long = _make(b'x' * (3 * _BUFFER), None, limit=2 * _BUFFER)
         with self.assertRaises(bodies.BodyError):
-            list(long.payload())
+            list(long.make_payload())
 
     def test_a_long_body_is_read_in_bounded_chunks_and_only_once(self):
         sizes = []
@@ -55,17 +55,17 @@
 
         body = bodies.Body(read, 5 * _BUFFER + 7, _LIMIT)
         self.assertEqual(source.tell(), _BUFFER)
-        self.assertTrue(body.may_resend)
-        chunks = body.payload()
+        self.assertTrue(body.is_resendable)
+        chunks = body.make_payload()
         next(chunks)
-        self.assertFalse(body.may_resend)
+        self.assertFalse(body.is_resendable)
         total = _BUFFER + sum(len(chunk) for chunk in chunks)
         self.assertEqual(total, 5 * _BUFFER + 7)
         self.assertLessEqual(max(sizes), _BUFFER)
 
     def test_a_body_just_as_long_as_the_buffer_arrives_whole(self):
         for length in (_BUFFER, None):
-            payload = _make(b'x' * _BUFFER, length).payload()
+            payload = _make(b'x' * _BUFFER, length).make_payload()
             self.assertEqual(b''.join(payload), b'x' * _BUFFER)
 
 
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -195,7 +195,7 @@
 
         def take(call, body):
             del call
-            for chunk in body.payload():
+            for chunk in body.make_payload():
                 sizes.append(len(chunk))
                 first_came.set()
             return pathhelp.ok()
