--- a/lentilmoor/connections.py
+++ b/lentilmoor/connections.py
@@ -1,12 +1,13 @@
-"""Connections to one backend server: which is used, kept, opened or closed.
-
-A connection that timed out, was cut or broke is never used again. An old
-connection may have gone silent for good while the server is well: one that
-timed out casts doubt on all that have not answered since, and a fresh one
-tells a silent connection from a dead server. A request that may not be
-repeated only goes on a connection that answered a moment ago, or a fresh one.
-New connections are limited in number and in rate, so none of this turns into
-a storm. The rules are plain functions of a row; `Pool` carries them out.
+"""Pool of keep-alive connections to one backend server.
+
+A connection that timed out, was cut or failed is never reused. An old
+connection can lose its path for good although the server is healthy, so a
+timeout on one connection makes stale all that have not answered since it was
+acquired; a new connection then shows whether the server itself is down. A
+request that is not idempotent goes only on a connection that answered recently
+or on a new one. The number and the rate of new connections are limited, so
+closing stale connections can't cause a connection storm. The rules are plain
+functions of the pool's limits and state; `Pool` applies them.
 """
 
 import collections
@@ -19,13 +20,13 @@
 from lentilmoor import clocks
 from lentilmoor import outcomes
 
-# A connection is left unused this long before its server would close it: a
-# request must not meet the close on its way.
+# A connection is no longer used this long before its server would close it:
+# otherwise a request may cross the server's close on the network.
 KEEP_ALIVE_MARGIN_MS = 500.0
 
 _NEVER = float('-inf')
-# Part of a server's connections that entries leave for probes and operators.
-_RESERVED_SHARE = 0.1
+# Fraction of a server's connections left for probes and operators.
+_RESERVED_FRACTION = 0.1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -93,12 +94,12 @@
     """One open connection; times in ms.
 
     Attributes:
-      http: The connection itself.
+      http: The underlying connection of urllib3.
       opened_at: When it was opened.
-      answered_at: When its last whole answer was read.
-      acquired_at: When it was last taken for a request.
-      use_count: Requests it has carried.
-      keep_alive_ms: How long the server keeps it without a request.
+      answered_at: When a complete answer was last read from it.
+      acquired_at: When it was last acquired for a request.
+      use_count: Number of requests it was acquired for.
+      keep_alive_ms: How long the server keeps it open without a request.
     """
 
     http: http_connection.HTTPConnection
@@ -110,160 +111,165 @@
 
     @property
     def reused(self) -> bool:
-        """Whether it has carried another request before this one."""
+        """Whether it carried another request before the current one."""
         return self.use_count > 1
 
 
 def compute_connection_share(connections: int, entries: int) -> int:
-    """Returns how many connections an entry may hold to a server.
+    """Returns how many connections an entry may open to a server.
 
     Args:
-      connections: What the server accepts from all entries together.
-      entries: Entries that dispatch to it.
+      connections: Connections that the server accepts from all entries
+        together.
+      entries: Number of entries that send requests to it.
     """
-    usable = connections * (1.0 - _RESERVED_SHARE)
+    usable = connections * (1.0 - _RESERVED_FRACTION)
     return max(1, int(usable / max(1, entries)))
 
 
-def may_reuse(rules: PoolLimits, row: PoolState, connection: Connection,
-              repeatable: bool, now: float) -> bool:
-    """Returns whether a request may go on a connection that is open."""
-    if connection.answered_at <= row.stale_before:
+def may_reuse(limits: PoolLimits, state: PoolState, connection: Connection,
+              idempotent: bool, now: float) -> bool:
+    """Returns whether a request may be sent on an idle connection."""
+    if connection.answered_at <= state.stale_before:
         return False
     idle_ms = now - connection.answered_at
     if idle_ms > connection.keep_alive_ms - KEEP_ALIVE_MARGIN_MS:
         return False
-    return idle_ms <= (rules.max_idle_ms
-                       if repeatable else rules.non_idempotent_idle_ms)
+    return idle_ms <= (limits.max_idle_ms
+                       if idempotent else limits.non_idempotent_idle_ms)
 
 
-def is_stale(rules: PoolLimits, row: PoolState, connection: Connection,
+def is_stale(limits: PoolLimits, state: PoolState, connection: Connection,
              now: float) -> bool:
-    """Returns whether a connection is to be closed, whoever asks for it."""
-    return not may_reuse(rules, row, connection, True, now)
+    """Returns whether no request may be sent on a connection any more."""
+    return not may_reuse(limits, state, connection, True, now)
 
 
-def find_open_delay(rules: PoolLimits, row: PoolState, now: float) -> float:
-    """Returns how long to wait before a connection may be opened, ms.
+def find_open_delay(limits: PoolLimits, state: PoolState, now: float) -> float:
+    """Returns how long to wait until a connection may be opened, ms.
 
     Args:
-      rules: The limits.
-      row: The pool's state; its tokens are counted up to now.
-      now: ms.
+      limits: Limits of the pool.
+      state: State of the pool; its tokens are updated.
+      now: Current time, ms.
     """
-    earned = (now - row.tokens_updated_at) * rules.opens_per_s / clocks.MS_PER_S
-    row.tokens = min(rules.burst, row.tokens + earned)
-    row.tokens_updated_at = now
-    if row.tokens >= 1:
+    new_tokens = (
+        now - state.tokens_updated_at) * limits.opens_per_s / clocks.MS_PER_S
+    state.tokens = min(limits.burst, state.tokens + new_tokens)
+    state.tokens_updated_at = now
+    if state.tokens >= 1:
         return 0.0
-    return (1 - row.tokens) * clocks.MS_PER_S / rules.opens_per_s
+    return (1 - state.tokens) * clocks.MS_PER_S / limits.opens_per_s
 
 
-def is_connect_failing(row: PoolState) -> bool:
+def is_connect_failing(state: PoolState) -> bool:
     """Returns whether the last attempt to open a connection failed."""
-    return row.last_failed_at > row.last_opened_at
+    return state.last_failed_at > state.last_opened_at
 
 
-def find_answer_timeout(rules: PoolLimits, connection: Connection,
-                        repeatable: bool, remaining_ms: float) -> float:
-    """Returns how long to wait for the begin of an answer, ms.
+def find_answer_timeout(limits: PoolLimits, connection: Connection,
+                        idempotent: bool, remaining_ms: float) -> float:
+    """Returns the timeout for the start of an answer, ms.
 
-    Only where another try may follow, and only on a connection that can have
-    gone silent, is it shorter than the deadline: a slow server gets the rest
-    of the deadline on the fresh connection.
+    It is shorter than the time left until the deadline only if the request may
+    be retried and the connection was reused, so that its path may be lost. A
+    server that is merely slow has the rest of that time on a new connection.
     """
-    if repeatable and connection.reused:
-        return min(rules.reused_answer_timeout_ms, remaining_ms)
+    if idempotent and connection.reused:
+        return min(limits.reused_answer_timeout_ms, remaining_ms)
     return remaining_ms
 
 
-def record_timeout(row: PoolState, connection: Connection) -> None:
-    """Notes that a connection brought no answer in time.
+def record_timeout(state: PoolState, connection: Connection) -> None:
+    """Records that no answer began in time on a connection.
 
-    Whatever lost track of it may have lost others: those that have not
-    answered since it was taken are not used any more.
+    A network device that dropped the state of this connection may have dropped
+    that of others too: those that have not answered since this one was acquired
+    become stale.
     """
-    row.timed_out_count += 1
-    row.stale_before = max(row.stale_before, connection.acquired_at)
+    state.timed_out_count += 1
+    state.stale_before = max(state.stale_before, connection.acquired_at)
 
 
 class Pool:
-    """The connections of this entry to one server; for many threads.
+    """The connections of this entry to one server; thread-safe.
 
     Attributes:
       limits: Limits of the pool.
       state: State and counters.
     """
 
-    def __init__(self, address: str, rules: PoolLimits, clock: clocks.Clock):
+    def __init__(self, address: str, limits: PoolLimits, clock: clocks.Clock):
         host, _, port = address.rpartition(':')
         self._host = host.strip('[]')
         self._port = int(port)
         self._clock = clock
         self._idle: collections.deque[Connection] = collections.deque()
-        self._changed = threading.Condition()
-        self.limits = rules
+        self._state_changed = threading.Condition()
+        self.limits = limits
         self.state = PoolState()
 
-    def acquire(self, repeatable: bool, fresh: bool,
-                patience_ms: float) -> Connection | outcomes.Failed:
+    def acquire(self, idempotent: bool, new_only: bool,
+                timeout_ms: float) -> Connection | outcomes.Failed:
         """Returns a connection for one request.
 
         Args:
-          repeatable: Whether the request may be run more than once.
-          fresh: Whether only a new connection will do.
-          patience_ms: How long to wait for one at most.
+          idempotent: Whether the request may be run more than once.
+          new_only: Whether only a new connection may be used.
+          timeout_ms: Longest time to wait for a connection.
 
         Returns:
-          A connection, to be given to `release` or `discard`; or why there is
-          none, in which case no byte has left. CONNECT_FAILED: the server
-          refused. TIMED_OUT: it was not reached. OVERLOADED and NO_SERVER:
-          none was opened, so this says nothing new of the server.
+          A connection, which must be passed to `release` or `discard`; or the
+          reason why there is none, in which case no byte was sent.
+          CONNECT_FAILED: the server refused the connection. TIMED_OUT: the
+          server could not be reached. OVERLOADED and NO_SERVER: no connection
+          was attempted, so nothing new is known about the server.
         """
-        began_at = self._clock.now()
-        until = began_at + patience_ms
-        with self._changed:
-            connection = None if fresh else self._pick_idle(repeatable)
-            while connection is None and not self._may_open():
-                refusal = self._wait(began_at, until, fresh)
-                if refusal is not None:
-                    return refusal
-                connection = None if fresh else self._pick_idle(repeatable)
+        started_at = self._clock.now()
+        deadline = started_at + timeout_ms
+        with self._state_changed:
+            connection = None if new_only else self._pop_idle(idempotent)
+            while connection is None and not self._reserve_slot():
+                failure = self._wait_for_change(started_at, deadline, new_only)
+                if failure is not None:
+                    return failure
+                connection = None if new_only else self._pop_idle(idempotent)
         if connection is None:
-            connection = self._open(until)
+            connection = self._open(deadline)
         if isinstance(connection, Connection):
             connection.acquired_at = self._clock.now()
             connection.use_count += 1
         return connection
 
     def release(self, connection: Connection) -> None:
-        """Keeps a connection whose whole answer was read."""
+        """Returns a connection to the pool after a complete answer."""
         connection.answered_at = self._clock.now()
-        with self._changed:
+        with self._state_changed:
             if is_stale(self.limits, self.state, connection,
                         connection.answered_at):
                 self._close(connection)
             else:
                 self._idle.append(connection)
-            self._changed.notify()
+            self._state_changed.notify()
 
     def discard(self, connection: Connection, timed_out: bool = False) -> None:
-        """Closes a connection for good.
+        """Closes a connection that must not be reused.
 
         Args:
-          connection: It broke, was cut, timed out or is in an unknown state.
-          timed_out: Whether it brought no byte of an answer in time.
+          connection: A connection that failed, was cut, timed out or is in an
+            unknown state.
+          timed_out: Whether no byte of an answer arrived in time.
         """
-        with self._changed:
+        with self._state_changed:
             if timed_out:
                 record_timeout(self.state, connection)
             self._close(connection)
-            self._changed.notify()
+            self._state_changed.notify()
 
     def close_stale(self) -> None:
-        """Closes connections that are not to be used again."""
+        """Closes the idle connections that may not be used any more."""
         now = self._clock.now()
-        with self._changed:
+        with self._state_changed:
             for connection in list(self._idle):
                 if is_stale(self.limits, self.state, connection, now):
                     self._idle.remove(connection)
@@ -271,12 +277,12 @@
 
     def close(self) -> None:
         """Closes all idle connections."""
-        with self._changed:
+        with self._state_changed:
             while self._idle:
                 self._close(self._idle.pop())
 
-    def _pick_idle(self, repeatable: bool) -> Connection | None:
-        """Takes the connection that answered last, if it may be used."""
+    def _pop_idle(self, idempotent: bool) -> Connection | None:
+        """Returns the idle connection that answered last, if it is usable."""
         now = self._clock.now()
         while self._idle:
             connection = self._idle[-1]
@@ -285,14 +291,14 @@
                                                   <= self.state.stale_before)
             elif connection.http.is_connected:
                 if not may_reuse(self.limits, self.state, connection,
-                                 repeatable, now):
+                                 idempotent, now):
                     return None
                 return self._idle.pop()
             self._close(self._idle.pop())
         return None
 
-    def _may_open(self) -> bool:
-        """Takes a token and a place for a new connection, if there are."""
+    def _reserve_slot(self) -> bool:
+        """Reserves a token and a slot for a new connection, if there are."""
         if find_open_delay(self.limits, self.state, self._clock.now()) > 0:
             return False
         if self.state.open_count >= self.limits.max_open:
@@ -303,64 +309,66 @@
         self.state.open_count += 1
         return True
 
-    def _wait(self, began_at: float, until: float,
-              fresh: bool) -> outcomes.Failed | None:
-        """Waits for a change; returns why it is no use, if so."""
+    def _wait_for_change(self, started_at: float, deadline: float,
+                         new_only: bool) -> outcomes.Failed | None:
+        """Waits for a change of the pool; returns a failure if none helps."""
         now = self._clock.now()
         self.state.wait_count += 1
-        # While new connections fail, one in use may still be put back.
-        hopeless = fresh or not self.state.open_count
-        late = now >= began_at + self.limits.connect_timeout_ms
-        if is_connect_failing(self.state) and (hopeless or late):
-            return outcomes.Failed(outcomes.Reason.NO_SERVER,
-                                   'new connections fail, none is tried now')
-        if now >= until:
+        # While new connections fail, one in use may still be released.
+        must_open = new_only or not self.state.open_count
+        connect_timed_out = now >= started_at + self.limits.connect_timeout_ms
+        if is_connect_failing(self.state) and (must_open or connect_timed_out):
+            return outcomes.Failed(
+                outcomes.Reason.NO_SERVER,
+                'the last connection attempt failed; '
+                'no other is allowed yet')
+        if now >= deadline:
             return outcomes.Failed(outcomes.Reason.OVERLOADED,
                                    'all connections to the server are in use')
-        wait_ms = until - now
+        wait_ms = deadline - now
         if is_connect_failing(self.state):
             wait_ms = min(wait_ms,
-                          began_at + self.limits.connect_timeout_ms - now)
+                          started_at + self.limits.connect_timeout_ms - now)
         if self.state.open_count < self.limits.max_open:
             wait_ms = min(wait_ms, find_open_delay(self.limits, self.state,
                                                    now))
-        self._changed.wait(wait_ms / clocks.MS_PER_S)
+        self._state_changed.wait(wait_ms / clocks.MS_PER_S)
         return None
 
-    def _open(self, until: float) -> Connection | outcomes.Failed:
-        patience_ms = min(self.limits.connect_timeout_ms,
-                          until - self._clock.now())
+    def _open(self, deadline: float) -> Connection | outcomes.Failed:
+        timeout_ms = min(self.limits.connect_timeout_ms,
+                         deadline - self._clock.now())
         options = self.limits.socket_options
-        http = http_connection.HTTPConnection(self._host,
-                                              self._port,
-                                              timeout=max(patience_ms, 1.0) /
-                                              clocks.MS_PER_S,
-                                              **({
-                                                  'socket_options': options
-                                              } if options else {}))
+        connection = http_connection.HTTPConnection(
+            self._host,
+            self._port,
+            timeout=max(timeout_ms, 1.0) / clocks.MS_PER_S,
+            **({
+                'socket_options': options
+            } if options else {}))
         try:
-            http.connect()
+            connection.connect()
         except (http_exceptions.HTTPError, OSError) as error:
-            http.close()
-            return self._note_failed(error)
+            connection.close()
+            return self._record_open_failure(error)
         now = self._clock.now()
-        with self._changed:
+        with self._state_changed:
             self.state.opened_count += 1
             self.state.last_opened_at = now
-        return Connection(http, now)
+        return Connection(connection, now)
 
-    def _note_failed(self, error: Exception) -> outcomes.Failed:
-        with self._changed:
+    def _record_open_failure(self, error: Exception) -> outcomes.Failed:
+        with self._state_changed:
             self.state.open_count -= 1
             self.state.failed_count += 1
             self.state.last_failed_at = self._clock.now()
-            self._changed.notify_all()
+            self._state_changed.notify_all()
         reason = outcomes.Reason.TIMED_OUT
         if isinstance(error.__cause__, ConnectionRefusedError):
             reason = outcomes.Reason.CONNECT_FAILED
         return outcomes.Failed(reason, type(error).__name__)
 
     def _close(self, connection: Connection) -> None:
-        """Closes a connection; the lock is held."""
+        """Closes a connection; the caller holds the lock."""
         connection.http.close()
         self.state.open_count -= 1
