--- a/lentilmoor/httpclient.py
+++ b/lentilmoor/httpclient.py
@@ -1,7 +1,8 @@
-"""Small HTTP calls with a deadline, for the adapters of outside systems.
+"""HTTP client for short calls with a deadline to other systems.
 
-A connection that timed out or broke is never used again, nor are those that
-lie idle beside it: whatever lost track of one may have lost track of all.
+A connection that timed out or failed is never reused, and neither are the idle
+connections to the same address: a network device that dropped the state of one
+may have dropped that of all.
 """
 
 import dataclasses
@@ -14,14 +15,14 @@
 from lentilmoor import outcomes
 
 MAX_REPLY_BYTES = 256 * 1024 * 1024
-_BLOCK_BYTES = 256 * 1024
+_READ_BYTES = 256 * 1024
 
 _Reason = outcomes.Reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Request:
-    """What to send.
+    """A request to send.
 
     Attributes:
       method: HTTP method.
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A whole reply."""
+    """A reply that was received completely."""
 
     status: int
     headers: urllib3.HTTPHeaderDict
@@ -46,33 +47,34 @@
 
 
 class Client:
-    """Makes calls over kept connections.
+    """Makes calls over keep-alive connections.
 
-    Failures are CONNECT_FAILED (certainly not sent), TIMED_OUT or
-    CONNECTION_LOST (it may have been sent and carried out).
+    Failures are CONNECT_FAILED (the request was certainly not sent), and
+    TIMED_OUT or CONNECTION_LOST (it may have been sent and executed).
     """
 
     def __init__(self,
                  clock: clocks.Clock,
                  idle_connections: int,
                  socket_options: tuple = ()):
-        """Makes a caller without connections.
+        """Makes a client without connections.
 
         Args:
-          clock: This process's time.
-          idle_connections: Connections kept open to each address.
-          socket_options: Set on each connection; the library's own if empty.
+          clock: Clock of this process.
+          idle_connections: Idle connections kept open to each address.
+          socket_options: Socket options of each connection; urllib3's defaults
+            if empty.
         """
         self._clock = clock
         self._idle_connections = idle_connections
-        self._options = ({
+        self._connection_options = ({
             'socket_options': socket_options
         } if socket_options else {})
         self._pools: dict[str, urllib3.HTTPConnectionPool] = {}
         self._lock = threading.Lock()
 
     def may_have_idle(self, address: str) -> bool:
-        """Returns whether a connection to an address may lie idle."""
+        """Returns whether there may be an idle connection to an address."""
         pool = self._pools.get(address)
         return pool is not None and pool.num_requests > 0
 
@@ -87,12 +89,15 @@
         Args:
           address: host:port.
           request: What to send.
-          timeout_ms: Time limit from now to the end of the reply.
-          connect_timeout_ms: Timeout of opening a connection; `timeout_ms` if
+          timeout_ms: Timeout from now to the end of the reply.
+          connect_timeout_ms: Timeout for opening a connection; `timeout_ms` if
             None.
+
+        Returns:
+          The reply, whatever its status, or the failure.
         """
-        pool = self._find(address)
-        ends = self._clock.now() + timeout_ms
+        pool = self._find_pool(address)
+        deadline = self._clock.now() + timeout_ms
         try:
             response = pool.urlopen(request.method,
                                     request.target,
@@ -103,7 +108,7 @@
                                     retries=False,
                                     redirect=False,
                                     preload_content=False)
-            body = self._read(response, ends)
+            body = self._read_body(response, deadline)
         except (urllib3.exceptions.NewConnectionError,
                 urllib3.exceptions.ConnectTimeoutError) as error:
             return outcomes.Failed(_Reason.CONNECT_FAILED, str(error))
@@ -115,17 +120,19 @@
             return outcomes.Failed(_Reason.CONNECTION_LOST, str(error))
         if body is None:
             response.close()
-            return outcomes.Failed(_Reason.TIMED_OUT, 'reply too slow or long')
+            return outcomes.Failed(
+                _Reason.TIMED_OUT,
+                'the reply was not complete in time, or too large')
         return Reply(response.status, response.headers, body)
 
     def discard_connections(self, address: str) -> None:
-        """Closes the idle connections to an address; none is used again."""
+        """Closes the idle connections to an address; none is reused."""
         with self._lock:
             pool = self._pools.pop(address, None)
         if pool is not None:
             pool.close()
 
-    def _find(self, address: str) -> urllib3.HTTPConnectionPool:
+    def _find_pool(self, address: str) -> urllib3.HTTPConnectionPool:
         with self._lock:
             pool = self._pools.get(address)
             if pool is None:
@@ -134,27 +141,27 @@
                     host.strip('[]'),
                     int(port),
                     maxsize=self._idle_connections,
-                    **self._options)
+                    **self._connection_options)
                 self._pools[address] = pool
             return pool
 
-    def _read(self, response: urllib3.BaseHTTPResponse,
-              ends: float) -> bytes | None:
-        """Returns the whole body, or None if it takes too long."""
-        blocks = []
+    def _read_body(self, response: urllib3.BaseHTTPResponse,
+                   deadline: float) -> bytes | None:
+        """Returns the body, or None if it takes too long or is too large."""
+        chunks = []
         size = 0
-        while block := response.read1(_BLOCK_BYTES):
-            blocks.append(block)
-            size += len(block)
-            if self._clock.now() > ends or size > MAX_REPLY_BYTES:
+        while chunk := response.read1(_READ_BYTES):
+            chunks.append(chunk)
+            size += len(chunk)
+            if self._clock.now() > deadline or size > MAX_REPLY_BYTES:
                 return None
         response.release_conn()
-        return b''.join(blocks)
+        return b''.join(chunks)
 
 
 def _make_timeout(timeout_ms: float,
                   connect_timeout_ms: float | None) -> urllib3.Timeout:
-    limits = {'total': timeout_ms / clocks.MS_PER_S}
+    timeouts = {'total': timeout_ms / clocks.MS_PER_S}
     if connect_timeout_ms is not None:
-        limits['connect'] = connect_timeout_ms / clocks.MS_PER_S
-    return urllib3.Timeout(**limits)
+        timeouts['connect'] = connect_timeout_ms / clocks.MS_PER_S
+    return urllib3.Timeout(**timeouts)
