--- a/lentilmoor/bodies.py
+++ b/lentilmoor/bodies.py
@@ -1,7 +1,8 @@
-"""A caller's request body: a buffered start, then the rest as it streams.
+"""Request body of a caller: its start is buffered, the rest is streamed.
 
-A body that fits the buffer can be sent again; a longer one is read from the
-caller's connection only once, so memory stays flat.
+A body that fits into the buffer can be sent again. A longer one is read from
+the caller's connection only once and in chunks, so its size doesn't increase
+memory use.
 """
 
 from collections.abc import Callable
@@ -14,7 +15,7 @@
 
 
 class BodyError(exceptions.LentilmoorError):
-    """The caller's body could not be read to its end, or is too large."""
+    """The body could not be read completely, or is too large."""
 
 
 class Body:
@@ -30,14 +31,14 @@
     """
 
     def __init__(self, read: Callable[[int], bytes], length: int | None,
-                 limit: int):
+                 max_bytes: int):
         self._read = read
-        self._limit = limit
-        self._seen = 0
+        self._max_bytes = max_bytes
+        self._byte_count = 0
         self.length = length
         self.stream_started = False
         self.digest = fingerprints.BodyDigest()
-        self.buffered = b'' if length == 0 else self._read_start()
+        self.buffered = b'' if length == 0 else self._fill_buffer()
         self.fully_buffered = len(self.buffered) < BUFFER_BYTES
         if self.fully_buffered and length is not None and len(
                 self.buffered) != length:
@@ -45,32 +46,32 @@
 
     @property
     def is_resendable(self) -> bool:
-        """Whether the whole body can be sent once more."""
+        """Whether the complete body can be sent again."""
         return self.fully_buffered or not self.stream_started
 
     def make_payload(self) -> bytes | Iterator[bytes] | None:
-        """Returns what a try sends: bytes, or chunks, or None if empty."""
+        """Returns what an attempt sends: bytes, chunks, or None if empty."""
         if self.fully_buffered:
             return self.buffered or None
         return self._stream()
 
-    def _read_start(self) -> bytes:
-        parts = []
-        room = BUFFER_BYTES
-        while room > 0:
-            chunk = self._read_chunk(room)
+    def _fill_buffer(self) -> bytes:
+        chunks = []
+        free_bytes = BUFFER_BYTES
+        while free_bytes > 0:
+            chunk = self._read_chunk(free_bytes)
             if not chunk:
                 break
-            parts.append(chunk)
-            room -= len(chunk)
-        return b''.join(parts)
+            chunks.append(chunk)
+            free_bytes -= len(chunk)
+        return b''.join(chunks)
 
     def _stream(self) -> Iterator[bytes]:
         self.stream_started = True
         yield self.buffered
         while chunk := self._read_chunk(BUFFER_BYTES):
             yield chunk
-        if self.length is not None and self._seen != self.length:
+        if self.length is not None and self._byte_count != self.length:
             raise BodyError('the body ended before its declared length')
 
     def _read_chunk(self, size: int) -> bytes:
@@ -78,8 +79,8 @@
             chunk = self._read(size)
         except (OSError, ValueError) as error:
             raise BodyError('the body could not be read') from error
-        self._seen += len(chunk)
-        if self._seen > self._limit:
-            raise BodyError(f'expected at most {self._limit} bytes')
+        self._byte_count += len(chunk)
+        if self._byte_count > self._max_bytes:
+            raise BodyError(f'expected at most {self._max_bytes} bytes')
         fingerprints.update_digest(self.digest, chunk)
         return chunk
--- a/lentilmoor/chunks.py
+++ b/lentilmoor/chunks.py
@@ -1,65 +1,66 @@
-"""Reading of a request body in chunked coding (RFC 9112, section 7.1).
+"""Reader of request bodies in chunked coding (RFC 9112, section 7.1).
 
-cheroot reads a whole chunk into memory, however long the caller says it is;
-this reads no more than it is asked for.
+cheroot's own reader holds a whole chunk in memory, whatever its size; this one
+reads no more than the requested number of bytes.
 """
 
 import re
 from typing import BinaryIO
 
-_LONGEST_LINE = 4_096
+_MAX_LINE_BYTES = 4_096
 _MAX_TRAILERS = 64
-_SIZE = re.compile(rb'([0-9a-fA-F]{1,16})[ \t]*(;.*)?\r?\n')
-_BLANK = (b'\r\n', b'\n')
+_SIZE_LINE = re.compile(rb'([0-9a-fA-F]{1,16})[ \t]*(;.*)?\r?\n')
+_BLANK_LINES = (b'\r\n', b'\n')
 
 
 class ChunkedBody:
-    """The body of one request.
+    """The body of one request in chunked coding.
 
     Attributes:
-      finished: Whether it was read to its end.
+      finished: Whether the body and its trailers were read completely.
     """
 
     def __init__(self, source: BinaryIO):
         self._source = source
-        self._left = 0
+        self._remaining_bytes = 0
         self.finished = False
 
     def read(self, size: int) -> bytes:
-        """Returns at most `size` bytes; b'' at the end.
+        """Returns at most `size` bytes of the body; b'' at its end.
 
         Args:
-          size: Bytes wanted; more than 0.
+          size: Maximum number of bytes to return; more than 0.
 
         Raises:
           ValueError: The body is malformed or ends early.
         """
         if self.finished:
             return b''
-        if not self._left:
-            self._left = self._read_size()
-        if not self._left:
+        if not self._remaining_bytes:
+            self._remaining_bytes = self._read_size()
+        if not self._remaining_bytes:
             self._read_trailers()
             self.finished = True
             return b''
-        data = self._source.read(min(size, self._left))
+        data = self._source.read(min(size, self._remaining_bytes))
         if not data:
             raise ValueError('the body ended within a chunk')
-        self._left -= len(data)
-        if not self._left and self._source.readline(3) not in _BLANK:
+        self._remaining_bytes -= len(data)
+        if not self._remaining_bytes and self._source.readline(
+                3) not in _BLANK_LINES:
             raise ValueError('a chunk is longer than its size')
         return data
 
     def _read_size(self) -> int:
-        line = _SIZE.fullmatch(self._source.readline(_LONGEST_LINE))
+        line = _SIZE_LINE.fullmatch(self._source.readline(_MAX_LINE_BYTES))
         if line is None:
-            raise ValueError('malformed size of a chunk')
+            raise ValueError('malformed size line of a chunk')
         return int(line[1], 16)
 
     def _read_trailers(self) -> None:
         for _ in range(_MAX_TRAILERS):
-            line = self._source.readline(_LONGEST_LINE)
-            if line in _BLANK:
+            line = self._source.readline(_MAX_LINE_BYTES)
+            if line in _BLANK_LINES:
                 return
             if not line.endswith(b'\n'):
                 break
