--- a/lentilmoor/responses.py
+++ b/lentilmoor/responses.py
@@ -1,8 +1,9 @@
-"""Writes answers and refusals to a connection of cheroot.
+"""Writes answers of servers and error responses to a connection of cheroot.
 
-A whole answer leaves in one piece: each write to a socket lets other threads
-run, and a busy entry pays for that more than for the bytes. A streamed answer
-that is cut is never ended as if it were whole.
+A complete answer is sent with a single write: each write to a socket releases
+the interpreter lock and lets other threads run, which costs a busy entry more
+than the bytes. A streamed answer that is truncated is never ended as if it were
+complete.
 """
 
 import email.utils
@@ -21,35 +22,35 @@
 _Request = cheroot_server.HTTPRequest
 _Header = tuple[bytes, bytes]
 
-_PHRASES = {
+_STATUS_LINES = {
     item.value: f'{item.value} {item.phrase}'.encode()
     for item in http.HTTPStatus
 }
 _OUTCOME = problems.OUTCOME_HEADER.encode()
 _ANSWERED = problems.Outcome.ANSWERED.value.encode()
 _REQUEST_ID = header_names.REQUEST_ID.encode()
-_WRITTEN_HERE = frozenset((b'date', b'server', b'connection'))
+_GENERATED_HEADERS = frozenset((b'date', b'server', b'connection'))
 
 
 def write_answer(request: _Request, request_id: str,
                  answer: transport.Answer) -> None:
-    """Writes a server's answer; closes it if the caller goes away."""
+    """Writes a server's answer and closes it, even if the caller has left."""
     headers = [(name.encode('latin-1'), value.encode('latin-1'))
                for name, value in answer.headers]
     headers.append((_OUTCOME, _ANSWERED))
     headers.append((_REQUEST_ID, request_id.encode()))
-    status = _PHRASES.get(answer.status, str(answer.status).encode())
+    status = _STATUS_LINES.get(answer.status, str(answer.status).encode())
     try:
         if answer.remaining_chunks is None:
-            _write_whole(request, status, headers, answer.body)
+            _write_complete(request, status, headers, answer.body)
         else:
-            _leave_body(request)
+            _close_if_body_unread(request)
             _send_headers(request, status, headers)
             _stream(request, answer)
     except OSError as error:
         if error.errno not in errors.socket_errors_to_ignore:
             raise
-        _cut(request)
+        _abort(request)
     finally:
         answer.close()
 
@@ -57,18 +58,19 @@
 def write_problem(request: _Request,
                   problem: problems.Problem,
                   request_id: str = '') -> None:
-    """Writes a refusal of the entry itself."""
+    """Writes an error response of the entry itself (RFC 9457)."""
     headers = [(name.encode(), value.encode('latin-1'))
                for name, value in problem.headers]
     if request_id:
         headers.append((_REQUEST_ID, request_id.encode()))
-    _write_whole(request, problem.status_line.encode(), headers, problem.body)
+    _write_complete(request, problem.status_line.encode(), headers,
+                    problem.body)
 
 
-def _write_whole(request: _Request, status: bytes, headers: list[_Header],
-                 body: bytes) -> None:
-    _leave_body(request)
-    if not _is_plain(request):
+def _write_complete(request: _Request, status: bytes, headers: list[_Header],
+                    body: bytes) -> None:
+    _close_if_body_unread(request)
+    if not _can_write_directly(request):
         _send_headers(request, status, headers)
         request.write(body)
         return
@@ -77,7 +79,7 @@
     lines += [
         name + b': ' + value
         for name, value in headers
-        if name.lower() not in _WRITTEN_HERE
+        if name.lower() not in _GENERATED_HEADERS
     ]
     lines.append(_format_date(int(time.time())))
     if request.close_connection:
@@ -87,11 +89,11 @@
     request.conn.wfile.write(b'\r\n'.join(lines))
 
 
-def _leave_body(request: _Request) -> None:
-    """Has the connection closed if part of the body is still to come.
+def _close_if_body_unread(request: _Request) -> None:
+    """Closes the connection after the response if the body is not read yet.
 
-    cheroot would read the rest into memory at once, or take the rest of a
-    chunked body for the next request.
+    cheroot would read the rest of a long body into memory at once, or parse the
+    rest of a chunked body as the next request.
     """
     source = request.rfile
     if request.chunked_read:
@@ -101,8 +103,12 @@
     request.close_connection |= unread
 
 
-def _is_plain(request: _Request) -> bool:
-    """Returns whether nothing of the request needs cheroot's own care."""
+def _can_write_directly(request: _Request) -> bool:
+    """Returns whether a response may be written without cheroot's own code.
+
+    That code handles other versions of HTTP, request bodies in chunked coding
+    and bodies that aren't read completely.
+    """
     return (request.response_protocol == 'HTTP/1.1' and
             not request.chunked_read and
             not getattr(request.rfile, 'remaining', 0))
@@ -127,10 +133,10 @@
         for chunk in answer.remaining_chunks:
             request.write(chunk)
     except transport.TruncatedAnswerError:
-        _cut(request)
+        _abort(request)
 
 
-def _cut(request: _Request) -> None:
-    """Closes the connection without the mark that ends a whole answer."""
+def _abort(request: _Request) -> None:
+    """Closes the connection without the last chunk that ends an answer."""
     request.chunked_write = False
     request.close_connection = True
--- a/lentilmoor/transport.py
+++ b/lentilmoor/transport.py
@@ -1,8 +1,8 @@
-"""One try: a request sent to one server or entry, and what came of it.
+"""One attempt: sends a request to one server or entry and reads the answer.
 
-The only place that sends callers' requests on. It tells apart what certainly
-did not run (no byte left, or the server said so before starting) from what
-may have run, and never takes a cut answer for a whole one.
+It distinguishes requests that certainly did not run (no byte was sent, or the
+server rejected the request before it began) from those that may have run, and
+never returns a truncated answer as a complete one.
 """
 
 from collections.abc import Callable
@@ -20,31 +20,34 @@
 from lentilmoor import outcomes
 
 CHUNK_BYTES = 64 * 1024
-# A streamed answer that brings nothing for so long is cut.
+# A streamed answer is given up when no byte arrives for this long.
 STREAM_IDLE_TIMEOUT_MS = 10_000.0
-# A used connection counts as silent only after this many mean times.
+# The timeout on a reused connection is at least this multiple of the server's
+# mean service time, so that a slow server isn't taken for a lost connection.
 REUSED_TIMEOUT_FACTOR = 6.0
 
 _Reason = outcomes.Reason
 _NO_BODY_STATUSES = frozenset((204, 304))
-_BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError)
+_CONNECTION_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException,
+                      OSError)
 
 
 class TruncatedAnswerError(Exception):
-    """The answer ended before its announced end."""
+    """The answer ended before its declared length or its last chunk."""
 
 
 @dataclasses.dataclass(slots=True)
 class Answer:
-    """An answer whose status line and headers have arrived.
+    """An answer whose status line and headers have been received.
 
     Attributes:
       status: HTTP status.
       headers: Name and value pairs, without hop-by-hop headers.
-      body: The whole body, if it was small enough to be read at once.
-      remaining_chunks: Chunks that follow `body`, or None if `body` is whole.
-        Iterating raises `TruncatedAnswerError` if the answer ends early.
-      close: Gives the connection up; to be called if not all chunks are read.
+      body: The complete body if it was small enough to be read at once.
+      remaining_chunks: Chunks that follow `body`, or None if `body` is
+        complete. Iterating raises `TruncatedAnswerError` if the answer ends
+        early.
+      close: Closes the connection; must be called unless all chunks are read.
     """
 
     status: int
@@ -59,18 +62,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OutboundRequest:
-    """What one try sends.
+    """The request that one attempt sends.
 
     Attributes:
       method: HTTP method.
       target: Path and query.
-      headers: Headers, hop-by-hop ones left out.
-      body: Whole body, an iterator of its chunks, or None.
-      chunked: Whether the body's length is not known.
+      headers: Headers without hop-by-hop ones.
+      body: The complete body, an iterator of its chunks, or None.
+      chunked: Whether to send the body in chunked coding, as its length is
+        unknown.
       remaining_ms: Time left until the deadline.
       idempotent: Whether the request may be run more than once.
-      new_connection: Whether only a new connection will do.
-      mean_service_ms: Mean time of service at the server.
+      new_connection: Whether only a new connection may be used.
+      mean_service_ms: Mean service time of the server.
     """
 
     method: str
@@ -86,12 +90,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Attempt:
-    """One try and what it tells of its connection.
+    """The result of one attempt and the state of its connection.
 
     Attributes:
-      result: What came of it.
-      reused: Whether its connection had served before.
-      opened_at: When its connection was opened, ms; 0 if there was none.
+      result: The answer, or why there is none.
+      reused: Whether the connection had carried another request before.
+      opened_at: When the connection was opened, ms; 0 if there was none.
     """
 
     result: Result
@@ -101,103 +105,107 @@
 
 def make_complete_answer(status: int, headers: list[tuple[str, str]],
                          body: bytes) -> Answer:
-    """Returns an answer that is here as a whole."""
-    return Answer(status, headers, body, None, _do_nothing)
+    """Returns an answer whose body has been received completely."""
+    return Answer(status, headers, body, None, _do_nothing_on_close)
 
 
-def send_request(pool: connections.Pool, order: OutboundRequest) -> Attempt:
+def send_request(pool: connections.Pool, request: OutboundRequest) -> Attempt:
     """Sends a request and reads the start of its answer.
 
     Args:
       pool: Connections to the server.
-      order: What to send.
+      request: What to send.
 
     Returns:
-      The answer (whole if it is small), or why there is none.
+      The result: the answer (complete if it is small) or why there is none.
     """
-    taken = pool.acquire(order.idempotent, order.new_connection,
-                         order.remaining_ms)
-    if isinstance(taken, outcomes.Failed):
-        return Attempt(outcomes.NotRun(taken.reason, taken.detail))
-    return Attempt(_exchange(pool, taken, order), taken.reused, taken.opened_at)
+    connection = pool.acquire(request.idempotent, request.new_connection,
+                              request.remaining_ms)
+    if isinstance(connection, outcomes.Failed):
+        return Attempt(outcomes.NotRun(connection.reason, connection.detail))
+    return Attempt(_exchange(pool, connection, request), connection.reused,
+                   connection.opened_at)
 
 
-def _exchange(pool: connections.Pool, taken: connections.Connection,
-              order: OutboundRequest) -> Result:
+def _exchange(pool: connections.Pool, connection: connections.Connection,
+              request: OutboundRequest) -> Result:
     try:
-        response = _send(pool.limits, taken, order)
+        response = _send(pool.limits, connection, request)
     except bodies.BodyError as error:
-        pool.discard(taken)
+        pool.discard(connection)
         return outcomes.Unknown(_Reason.BAD_REQUEST, str(error))
     except TimeoutError:
-        pool.discard(taken, timed_out=True)
+        pool.discard(connection, timed_out=True)
         return outcomes.Unknown(_Reason.TIMED_OUT, 'no answer in time')
-    except _BROKEN as error:
-        pool.discard(taken)
+    except _CONNECTION_ERRORS as error:
+        pool.discard(connection)
         return outcomes.Unknown(_Reason.CONNECTION_LOST, type(error).__name__)
-    return _read_start(pool, taken, response, order.method)
-
-
-def _send(rules: connections.PoolLimits, taken: connections.Connection,
-          order: OutboundRequest) -> urllib3.HTTPResponse:
-    wait_ms = connections.find_answer_timeout(rules, taken, order.idempotent,
-                                              order.remaining_ms)
-    wait_ms = min(max(wait_ms, order.mean_service_ms * REUSED_TIMEOUT_FACTOR),
-                  order.remaining_ms)
-    taken.http.timeout = wait_ms / clocks.MS_PER_S
+    return _read_answer(pool, connection, response, request.method)
+
+
+def _send(limits: connections.PoolLimits, connection: connections.Connection,
+          request: OutboundRequest) -> urllib3.HTTPResponse:
+    timeout_ms = connections.find_answer_timeout(limits, connection,
+                                                 request.idempotent,
+                                                 request.remaining_ms)
+    timeout_ms = min(
+        max(timeout_ms, request.mean_service_ms * REUSED_TIMEOUT_FACTOR),
+        request.remaining_ms)
+    connection.http.timeout = timeout_ms / clocks.MS_PER_S
     try:
-        taken.http.request(order.method,
-                           order.target,
-                           body=order.body,
-                           headers=order.headers,
-                           chunked=order.chunked,
-                           preload_content=False,
-                           decode_content=False)
+        connection.http.request(request.method,
+                                request.target,
+                                body=request.body,
+                                headers=request.headers,
+                                chunked=request.chunked,
+                                preload_content=False,
+                                decode_content=False)
     except (BrokenPipeError, ConnectionResetError):
-        # The server may have answered before it had read the whole body.
-        if order.body is None:
+        # The server may have answered before it read the complete body.
+        if request.body is None:
             raise
-    return taken.http.getresponse()
+    return connection.http.getresponse()
 
 
-def _read_start(pool: connections.Pool, taken: connections.Connection,
-                response: urllib3.HTTPResponse, method: str) -> Result:
+def _read_answer(pool: connections.Pool, connection: connections.Connection,
+                 response: urllib3.HTTPResponse, method: str) -> Result:
     headers = [(name, value)
                for name, value in response.headers.items()
                if name.lower() not in header_names.HOP_BY_HOP]
     if method == 'HEAD' or response.status in _NO_BODY_STATUSES:
-        pool.release(taken)
+        pool.release(connection)
         return make_complete_answer(response.status, headers, b'')
     length = response.length_remaining
     if length is None and not response.chunked:
-        pool.discard(taken)
+        pool.discard(connection)
         return outcomes.Unknown(
             _Reason.ANSWER_CUT,
-            'the answer has no length, so its end cannot be told')
+            'the answer has no length and no chunks, so its end is unknown')
     if length is None or length > CHUNK_BYTES:
         return Answer(response.status, headers, b'',
-                      _stream(pool, taken, response),
-                      lambda: pool.discard(taken))
+                      _stream(pool, connection, response),
+                      lambda: pool.discard(connection))
     try:
         body = response.read(decode_content=False)
-    except _BROKEN:
-        pool.discard(taken)
+    except _CONNECTION_ERRORS:
+        pool.discard(connection)
         return outcomes.Unknown(_Reason.ANSWER_CUT,
-                                'the answer ended before its announced end')
-    pool.release(taken)
+                                'the answer ended before its declared length')
+    pool.release(connection)
     return make_complete_answer(response.status, headers, body)
 
 
-def _stream(pool: connections.Pool, taken: connections.Connection,
+def _stream(pool: connections.Pool, connection: connections.Connection,
             response: urllib3.HTTPResponse) -> Iterator[bytes]:
-    if taken.http.sock is not None:
-        taken.http.sock.settimeout(STREAM_IDLE_TIMEOUT_MS / clocks.MS_PER_S)
+    if connection.http.sock is not None:
+        connection.http.sock.settimeout(STREAM_IDLE_TIMEOUT_MS /
+                                        clocks.MS_PER_S)
     try:
         yield from response.stream(CHUNK_BYTES, decode_content=False)
-    except _BROKEN as error:
+    except _CONNECTION_ERRORS as error:
         raise TruncatedAnswerError(str(error)) from error
-    pool.release(taken)
+    pool.release(connection)
 
 
-def _do_nothing() -> None:
-    """Stands where there is no connection to give up."""
+def _do_nothing_on_close() -> None:
+    """Replaces `Answer.close` where there is no connection to close."""
