--- a/benchmarks/slopes_path.py
+++ b/benchmarks/slopes_path.py
@@ -52,7 +52,7 @@
     time_ = clocks.ManualTime(_NOW)
     dispatcher = pathhelp.make_dispatcher(snapshot, time_.clock())
     call = pathhelp.make_call(settings, _NOW)
-    wires = pathhelp.Wires(results=[pathhelp.ok()])
+    wires = pathhelp.FakeWiring(results=[pathhelp.make_answer()])
 
     def work() -> None:
         pathhelp.dispatch_one(dispatcher, wires, call)
--- a/tests/pathhelp.py
+++ b/tests/pathhelp.py
@@ -26,10 +26,10 @@
 TEAM = 'shop'
 SERVICE = 'stock'
 SHARD = f'{TEAM}/{SERVICE}/0'
-ME = 'entry-1'
+ENTRY_ID = 'entry-1'
 HEAD = b'HTTP/1.1 200 OK\r\n'
 # Only ends a test that hangs; nothing is judged by it.
-PATIENCE_S = 30.0
+TIMEOUT_S = 30.0
 
 
 def make_settings(**fields) -> models.ServiceSettings:
@@ -110,7 +110,8 @@
                     most_holding: int = 4) -> dispatchers.Dispatcher:
     """Returns a dispatcher with a snapshot in force."""
     registry = metrics.Registry(clock)
-    made = dispatchers.Dispatcher(ME, clock, dispatchers.make_meters(registry),
+    made = dispatchers.Dispatcher(ENTRY_ID, clock,
+                                  dispatchers.make_meters(registry),
                                   random.Random(1), most_holding)
     made.swap(snapshot)
     made.informed = True
@@ -118,7 +119,7 @@
 
 
 @dataclasses.dataclass
-class Wires:
+class FakeWiring:
     """Fake wiring: what is to come back, and what was asked.
 
     Attributes:
@@ -139,7 +140,7 @@
     crashes: list = dataclasses.field(default_factory=list)
     on_send: Callable[[runs.Outgoing], None] = lambda outgoing: None
 
-    def wiring(self) -> runs.Wiring:
+    def make_wiring(self) -> runs.Wiring:
         """Returns the closures that `dispatch` is given."""
         return runs.Wiring(send=self._send,
                            relay=self._relay,
@@ -163,34 +164,34 @@
                               transport.Attempt) else transport.Attempt(made)
 
 
-def ok(body: bytes = b'ok') -> transport.Answer:
+def make_answer(body: bytes = b'ok') -> transport.Answer:
     """Returns a whole answer, with its length as servers send it."""
     return transport.make_complete_answer(200,
                                           [('Content-Length', str(len(body)))],
                                           body)
 
 
-def not_run(reason: outcomes.Reason) -> outcomes.NotRun:
+def make_not_run(reason: outcomes.Reason) -> outcomes.NotRun:
     """Returns the end of a try that certainly ran nothing."""
     return outcomes.NotRun(reason, 'fake')
 
 
-def dispatch_one(dispatcher: dispatchers.Dispatcher, wires: Wires,
+def dispatch_one(dispatcher: dispatchers.Dispatcher, wires: FakeWiring,
                  call: calls.Call) -> transport.Result:
     """Carries one call to its outcome."""
     body = bodies.Body(call.raw.read, call.raw.length, 1 << 20)
-    return dispatch.dispatch_call(dispatcher, wires.wiring(), call, body,
+    return dispatch.dispatch_call(dispatcher, wires.make_wiring(), call, body,
                                   traces.NO_SPAN)
 
 
-def in_thread(work: Callable[[], object]) -> Callable[[], object]:
+def run_in_thread(work: Callable[[], object]) -> Callable[[], object]:
     """Starts work in a thread; returns what waits for its result."""
     found = []
     thread = threading.Thread(target=lambda: found.append(work()), daemon=True)
     thread.start()
 
     def join():
-        thread.join(PATIENCE_S)
+        thread.join(TIMEOUT_S)
         assert found, 'the work did not end'
         return found[0]
 
@@ -272,6 +273,6 @@
                             clocks.Clock())
 
 
-def suspect_row(liveness: tables.Liveness) -> routes.ServerRoute:
+def make_server_route(liveness: tables.Liveness) -> routes.ServerRoute:
     """Returns server a with a liveness."""
     return routes.ServerRoute('a', '127.0.0.1:9001', liveness=liveness)
--- a/tests/test_claiming.py
+++ b/tests/test_claiming.py
@@ -46,7 +46,7 @@
         if reply is not None:
             message.reply.set_result(reply)
 
-    def _claim(self, grantor=pathhelp.ME, deadline_ms='20000'):
+    def _claim(self, grantor=pathhelp.ENTRY_ID, deadline_ms='20000'):
         route = pathhelp.make_route(grantor=grantor)
         snapshot = pathhelp.make_snapshot(_SETTINGS, route)
         dispatcher = pathhelp.make_dispatcher(snapshot, self.clock)
@@ -62,11 +62,13 @@
     def test_a_granted_claim_is_settled_by_its_result(self):
         long = b'x' * (claiming.MAX_KEPT_BODY + 1)
         streamed = transport.Answer(200, [], b'', iter(()), lambda: None)
-        for result, expected in ((pathhelp.not_run(_Reason.NO_OWNER),
+        for result, expected in ((pathhelp.make_not_run(_Reason.NO_OWNER),
                                   'not_run'),
                                  (outcomes.Unknown(_Reason.TIMED_OUT),
-                                  'unknown'), (pathhelp.ok(), 'answer'),
-                                 (pathhelp.ok(long), ''), (streamed, '')):
+                                  'unknown'), (pathhelp.make_answer(),
+                                               'answer'),
+                                 (pathhelp.make_answer(long), ''), (streamed,
+                                                                    '')):
             claimed = self._claim()
             self.assertIsInstance(claimed, runs.Claimed)
             claimed.settle(result)
@@ -99,14 +101,14 @@
         self.assertEqual(len(self.asked), 2)
 
     def test_silence_is_unknown_and_the_attempt_is_given_back(self):
-        cases = ((None, pathhelp.ME),
+        cases = ((None, pathhelp.ENTRY_ID),
                  (peer_pb2.ClaimReply(verdict=_Verdict.NOT_GRANTOR),
-                  pathhelp.ME), (None, ''), (None, 'not-known'))
+                  pathhelp.ENTRY_ID), (None, ''), (None, 'not-known'))
         for verdict, grantor in cases:
             self.verdicts = [verdict]
             result = self._claim(grantor, deadline_ms='60')
             self.assertIsInstance(result, outcomes.Unknown)
-            if grantor == pathhelp.ME:
+            if grantor == pathhelp.ENTRY_ID:
                 self.assertTrue(self.settled.pop().not_run)
 
     def test_verdicts_are_told_as_they_are(self):
@@ -123,7 +125,7 @@
 
     def test_the_first_answer_comes_back_as_it_was(self):
         claimed = self._claim()
-        first = dataclasses.replace(pathhelp.ok(b'first'), status=201)
+        first = dataclasses.replace(pathhelp.make_answer(b'first'), status=201)
         claimed.settle(first)
         kept = self.settled[0].answer
         self.verdicts = [
@@ -135,12 +137,12 @@
 
     def test_a_settlement_is_sent_until_it_is_accepted(self):
         self.refused = 2
-        self._claim().settle(pathhelp.ok())
+        self._claim().settle(pathhelp.make_answer())
         self.assertEqual(len(self.settled), 3)
 
     def test_a_settlement_that_nobody_takes_is_given_up(self):
         self.refused = claiming.SETTLE_TRIES + 9
-        self._claim().settle(pathhelp.ok())
+        self._claim().settle(pathhelp.make_answer())
         self.assertEqual(len(self.settled), claiming.SETTLE_TRIES)
 
     def test_a_peer_that_is_grantor_is_asked(self):
--- a/tests/test_dispatch.py
+++ b/tests/test_dispatch.py
@@ -21,7 +21,7 @@
     def setUp(self):
         super().setUp()
         self.clock = clocks.Clock()
-        self.wires = pathhelp.Wires(results=[pathhelp.ok()])
+        self.wires = pathhelp.FakeWiring(results=[pathhelp.make_answer()])
         self._put(pathhelp.make_route())
 
     def _put(self, route, relays=None, most_holding=4):
@@ -53,7 +53,7 @@
 
     def test_a_moving_slice_holds_the_request_until_it_has_an_owner(self):
         self._put(pathhelp.make_route(''))
-        join = pathhelp.in_thread(self._dispatch)
+        join = pathhelp.run_in_thread(self._dispatch)
         waits.wait_for(lambda: self.dispatcher.holding)
         self.assertEqual(self.wires.sent, [])
         self._swap(pathhelp.make_route('b', sequence=2))
@@ -99,7 +99,7 @@
     def test_a_repeatable_request_goes_to_the_next_owner(self):
         self.wires.results = [
             outcomes.Unknown(_Reason.CONNECTION_LOST),
-            pathhelp.ok()
+            pathhelp.make_answer()
         ]
         moves = iter([pathhelp.make_route('b', sequence=2)])
         self.wires.on_send = lambda _: self._swap(
@@ -120,8 +120,8 @@
 
     def test_a_request_that_did_not_run_may_go_on(self):
         self.wires.results = [
-            pathhelp.not_run(_Reason.NOT_GRANTED),
-            pathhelp.ok()
+            pathhelp.make_not_run(_Reason.NOT_GRANTED),
+            pathhelp.make_answer()
         ]
         self.wires.on_send = lambda _: self._swap(
             pathhelp.make_route('b', sequence=2))
@@ -135,7 +135,7 @@
             self.wires.sent.clear()
             self.wires.results = [
                 outcomes.Unknown(_Reason.CONNECTION_LOST),
-                pathhelp.not_run(second)
+                pathhelp.make_not_run(second)
             ]
             moves = iter([pathhelp.make_route('b', sequence=2)])
             self.wires.on_send = lambda _, moves=moves: self._swap(
@@ -146,7 +146,7 @@
             self._assert_idle()
 
     def test_a_dead_server_that_stays_owner_is_given_up(self):
-        self.wires.results = [pathhelp.not_run(_Reason.CONNECT_FAILED)]
+        self.wires.results = [pathhelp.make_not_run(_Reason.CONNECT_FAILED)]
         result = self._dispatch()
         self.assertIsInstance(result, outcomes.NotRun)
         self.assertIs(result.reason, _Reason.CONNECT_FAILED)
@@ -222,7 +222,7 @@
         self.assertIsInstance(result, outcomes.NotRun)
         self.assertIs(result.reason, _Reason.QUARANTINED)
         self.assertEqual(len(self.wires.sent), sent)
-        self.wires.results = [pathhelp.ok()]
+        self.wires.results = [pathhelp.make_answer()]
         self.assertEqual(self._dispatch().body, b'ok')
         self._assert_idle()
 
@@ -237,8 +237,8 @@
     def test_a_refused_relay_is_followed_by_another_route(self):
         self._put_lapsed()
         self.wires.relayed = [
-            pathhelp.not_run(_Reason.CONNECT_FAILED),
-            pathhelp.ok()
+            pathhelp.make_not_run(_Reason.CONNECT_FAILED),
+            pathhelp.make_answer()
         ]
         self.assertEqual(self._dispatch(method='POST').body, b'ok')
         self.assertEqual(self.wires.handed, ['e2', 'e3'])
@@ -265,7 +265,7 @@
                                     contended=True,
                                     liveness=tables.Liveness.LIVE)
         self._put(pathhelp.make_route(servers={'a': server}), {'e2': 'x:2'})
-        self.wires.relayed = [pathhelp.not_run(_Reason.CONNECT_FAILED)]
+        self.wires.relayed = [pathhelp.make_not_run(_Reason.CONNECT_FAILED)]
         self.assertEqual(self._dispatch().body, b'ok')
         self.assertEqual((self.wires.handed, self.wires.sent), (['e2'], ['a']))
         self._assert_idle()
@@ -293,7 +293,8 @@
                          [outcomes.Unknown])
 
     def test_a_claim_is_settled_once_with_what_came_of_it(self):
-        for result in (pathhelp.ok(), outcomes.Unknown(_Reason.TIMED_OUT)):
+        for result in (pathhelp.make_answer(),
+                       outcomes.Unknown(_Reason.TIMED_OUT)):
             self.wires.results = [result]
             told = self._order()
             self.assertEqual(len(self.settled), 1)
@@ -303,15 +304,15 @@
         self.assertIsInstance(self.settled.pop(), outcomes.NotRun)
 
     def test_without_a_claim_nothing_is_sent(self):
-        first = pathhelp.ok(b'first')
-        for refusal in (first, pathhelp.not_run(_Reason.CLAIM_UNAVAILABLE),
+        first = pathhelp.make_answer(b'first')
+        for refusal in (first, pathhelp.make_not_run(_Reason.CLAIM_UNAVAILABLE),
                         outcomes.Unknown(_Reason.ALREADY_CLAIMED)):
             self.wires.claimed = refusal
             self.assertIs(self._order(), refusal)
         self.assertEqual(self.wires.sent, [])
 
     def test_requests_that_may_be_repeated_are_not_claimed(self):
-        self.wires.claimed = pathhelp.not_run(_Reason.CLAIM_UNAVAILABLE)
+        self.wires.claimed = pathhelp.make_not_run(_Reason.CLAIM_UNAVAILABLE)
         self.assertEqual(self._dispatch(idempotency_key='i').body, b'ok')
 
 
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -37,7 +37,7 @@
     def setUp(self):
         super().setUp()
         self.calls = []
-        self.answer = lambda call, body: pathhelp.ok()
+        self.answer = lambda call, body: pathhelp.make_answer()
         self.errors = []
         self.count = shutdowns.RequestCount()
         dispatcher = pathhelp.make_dispatcher(
@@ -67,7 +67,7 @@
     def _connect(self):
         connection = http.client.HTTPConnection('127.0.0.1',
                                                 self.port,
-                                                timeout=pathhelp.PATIENCE_S)
+                                                timeout=pathhelp.TIMEOUT_S)
         self.addCleanup(connection.close)
         return connection
 
@@ -83,7 +83,7 @@
     def _send_raw(self, data):
         """Returns all that comes back until the connection is closed."""
         address = ('127.0.0.1', self.port)
-        with socket.create_connection(address, pathhelp.PATIENCE_S) as opened:
+        with socket.create_connection(address, pathhelp.TIMEOUT_S) as opened:
             opened.sendall(data)
             opened.shutdown(socket.SHUT_WR)
             got = bytearray()
@@ -164,7 +164,7 @@
     def _send_head(self, *lines):
         """Sends a head and no body; returns the status line."""
         address = ('127.0.0.1', self.port)
-        with socket.create_connection(address, pathhelp.PATIENCE_S) as opened:
+        with socket.create_connection(address, pathhelp.TIMEOUT_S) as opened:
             opened.sendall('\r\n'.join((*lines, '', '')).encode())
             return opened.recv(12)
 
@@ -198,12 +198,12 @@
             for chunk in body.make_payload():
                 sizes.append(len(chunk))
                 first_came.set()
-            return pathhelp.ok()
+            return pathhelp.make_answer()
 
         def send():
             yield _CHUNK * 2
             # Goes on only when the start has come through.
-            self.assertTrue(first_came.wait(pathhelp.PATIENCE_S))
+            self.assertTrue(first_came.wait(pathhelp.TIMEOUT_S))
             for _ in range(_CHUNKS - 2):
                 yield _CHUNK
 
@@ -223,11 +223,11 @@
         return closed
 
     def test_a_long_chunk_is_not_read_into_memory_at_once(self):
-        self.answer = lambda call, body: pathhelp.not_run(_Reason.NO_OWNER)
+        self.answer = lambda call, body: pathhelp.make_not_run(_Reason.NO_OWNER)
         head = (f'POST {_PATH} HTTP/1.1\r\nHost: x\r\nLentilmoor-Key: k\r\n'
                 f'Transfer-Encoding: chunked\r\n\r\n{_LIMIT:x}\r\n')
         address = ('127.0.0.1', self.port)
-        with socket.create_connection(address, pathhelp.PATIENCE_S) as opened:
+        with socket.create_connection(address, pathhelp.TIMEOUT_S) as opened:
             # Only a part of the chunk comes; the outcome does not depend on
             # the rest.
             opened.sendall(head.encode() + _CHUNK * 2)
@@ -238,7 +238,7 @@
 
         def make():
             yield _CHUNK
-            self.assertTrue(start_read.wait(pathhelp.PATIENCE_S))
+            self.assertTrue(start_read.wait(pathhelp.TIMEOUT_S))
             for _ in range(_CHUNKS - 1):
                 yield _CHUNK
 
@@ -252,7 +252,7 @@
         while chunk := response.read(len(_CHUNK)):
             size += len(chunk)
         self.assertEqual(size, _CHUNKS * len(_CHUNK))
-        self.assertTrue(closed.wait(pathhelp.PATIENCE_S))
+        self.assertTrue(closed.wait(pathhelp.TIMEOUT_S))
         self.assertEqual(response.headers['Lentilmoor-Outcome'], 'answered')
 
     def test_a_cut_answer_is_not_ended_as_a_whole_one(self):
@@ -268,7 +268,7 @@
             response = connection.getresponse()
             with self.assertRaises(http.client.HTTPException):
                 response.read()
-            self.assertTrue(closed.wait(pathhelp.PATIENCE_S))
+            self.assertTrue(closed.wait(pathhelp.TIMEOUT_S))
         self.assertEqual(self.errors, [])
 
     def test_a_caller_that_goes_ends_the_stream(self):
@@ -282,7 +282,7 @@
         connection.request('GET', _PATH, headers=_KEY)
         connection.getresponse().read(10)
         connection.close()
-        self.assertTrue(closed.wait(pathhelp.PATIENCE_S))
+        self.assertTrue(closed.wait(pathhelp.TIMEOUT_S))
 
     def test_a_body_that_ends_early_is_not_dispatched(self):
         head = (f'POST {_PATH} HTTP/1.1\r\nHost: x\r\nLentilmoor-Key: k\r\n'
--- a/tests/test_routes.py
+++ b/tests/test_routes.py
@@ -17,8 +17,8 @@
     chance = routes.Chance(lambda: next(draws), lambda name:
                            (busy or {}).get(name, 0))
     snapshot = pathhelp.make_snapshot(_SETTINGS, route, relays)
-    return routes.pick_route(snapshot, pathhelp.SHARD, 1, now, pathhelp.ME,
-                             frozenset(avoid), chance)
+    return routes.pick_route(snapshot, pathhelp.SHARD, 1, now,
+                             pathhelp.ENTRY_ID, frozenset(avoid), chance)
 
 
 class KeyedTest(unittest.TestCase):
@@ -43,9 +43,9 @@
             _pick(pathhelp.make_route('a'), avoid='a').server.id, 'a')
 
     def test_at_the_end_of_the_lease_only_delegates_dispatch(self):
-        names = (pathhelp.ME, 'e2', 'e3')
+        names = (pathhelp.ENTRY_ID, 'e2', 'e3')
         route = pathhelp.make_route(expires_at=100.0, delegates=names)
-        relays = {'e2': 'x:2', 'e3': 'x:3', pathhelp.ME: 'x:1'}
+        relays = {'e2': 'x:2', 'e3': 'x:3', pathhelp.ENTRY_ID: 'x:1'}
         self.assertIsInstance(_pick(route, relays, 99.9), routes.Straight)
         self.assertEqual(_pick(route, relays, 100.0), routes.Relay('e2', 'x:2'))
         self.assertEqual(_pick(route, relays, 100.0, ('e2',)),
@@ -82,7 +82,7 @@
             if liveness is tables.Liveness.LIVE:
                 continue
             servers = {
-                'a': pathhelp.suspect_row(liveness),
+                'a': pathhelp.make_server_route(liveness),
                 'b': routes.ServerRoute('b', 'x:2')
             }
             route = pathhelp.make_route(keyed=False, servers=servers)
--- a/tests/test_settingswork.py
+++ b/tests/test_settingswork.py
@@ -30,7 +30,7 @@
 
 def _make_tables() -> controltables.ControlTables:
     clock = clocks.ManualTime(_NOW).clock()
-    own = rows.Instance(pathhelp.ME, 'x:1', 'x:2', 'north', 'd')
+    own = rows.Instance(pathhelp.ENTRY_ID, 'x:1', 'x:2', 'north', 'd')
     settings = models.ProcessSettings(
         instance='e1',
         region='north',
