--- a/tests/pathhelp.py
+++ b/tests/pathhelp.py
@@ -1,4 +1,7 @@
-"""Requests, snapshots and small servers for tests of the request path."""
+"""Builders of requests and snapshots, fakes, and a scripted server for tests.
+
+They serve the tests of the request path: routing, dispatch and transport.
+"""
 
 from collections.abc import Callable
 import dataclasses
@@ -28,7 +31,7 @@
 SHARD = f'{TEAM}/{SERVICE}/0'
 ENTRY_ID = 'entry-1'
 HEAD = b'HTTP/1.1 200 OK\r\n'
-# Only ends a test that hangs; nothing is judged by it.
+# Ends a test that hangs; no test depends on the value otherwise.
 TIMEOUT_S = 30.0
 
 
@@ -48,11 +51,11 @@
              body: bytes = b'',
              query: str = '',
              **headers: str) -> calls.RawRequest:
-    """Returns a parsed request; header names come with underscores."""
-    left = [body]
+    """Returns a parsed request; `headers` have underscores for hyphens."""
+    remaining = [body]
 
     def read(size: int) -> bytes:
-        chunk, left[0] = left[0][:size], left[0][size:]
+        chunk, remaining[0] = remaining[0][:size], remaining[0][size:]
         return chunk
 
     fields = {
@@ -66,7 +69,7 @@
 def make_call(settings: models.ServiceSettings,
               now: float = 0.0,
               **fields) -> calls.Call:
-    """Returns a call for key k, as `make_raw` makes it."""
+    """Returns a call of a request made by `make_raw`; for key k if keyed."""
     if settings.keyed:
         fields = {'lentilmoor_key': 'k'} | fields
     call = calls.read_call(make_raw(**fields), lambda *_: settings, now)
@@ -75,21 +78,26 @@
 
 
 def make_route(owner: str = 'a', **fields) -> routes.ShardRoute:
-    """Returns a shard with servers a and b; one owns all of it."""
+    """Returns the route of a shard with servers a and b.
+
+    Args:
+      owner: Server that owns all keys of the shard; '' if none does.
+      **fields: Other fields of the route.
+    """
     servers = {
         name: routes.ServerRoute(name, f'127.0.0.1:{port}')
         for name, port in (('a', 9001), ('b', 9002))
     }
-    whole = slices.make_map((owner or 'a',), 1)
+    slice_map = slices.make_map((owner or 'a',), 1)
     if not owner:
-        whole.owners[0] = slices.NO_OWNER
+        slice_map.owners[0] = slices.NO_OWNER
     sequence = fields.get('sequence', 1)
     return routes.ShardRoute(
         **{
             'id': SHARD,
             'keyed': True,
             'servers': servers,
-            'map': whole,
+            'map': slice_map,
             'expires_at': 1e9,
             'epoch': 1,
             'sequence': sequence
@@ -99,7 +107,7 @@
 def make_snapshot(settings: models.ServiceSettings,
                   route: routes.ShardRoute | None = None,
                   relays: dict[str, str] | None = None) -> routes.Snapshot:
-    """Returns a snapshot with one shard."""
+    """Returns a snapshot with one service and at most one shard."""
     shards = {SHARD: route} if route else {}
     return routes.Snapshot({(TEAM, SERVICE): settings}, shards, relays or {},
                            {})
@@ -108,28 +116,29 @@
 def make_dispatcher(snapshot: routes.Snapshot,
                     clock: clocks.Clock,
                     most_holding: int = 4) -> dispatchers.Dispatcher:
-    """Returns a dispatcher with a snapshot in force."""
+    """Returns a dispatcher that uses a snapshot."""
     registry = metrics.Registry(clock)
-    made = dispatchers.Dispatcher(ENTRY_ID, clock,
-                                  dispatchers.make_meters(registry),
-                                  random.Random(1), most_holding)
-    made.swap(snapshot)
-    made.informed = True
-    return made
+    dispatcher = dispatchers.Dispatcher(ENTRY_ID, clock,
+                                        dispatchers.make_meters(registry),
+                                        random.Random(1), most_holding)
+    dispatcher.swap(snapshot)
+    dispatcher.informed = True
+    return dispatcher
 
 
 @dataclasses.dataclass
 class FakeWiring:
-    """Fake wiring: what is to come back, and what was asked.
+    """Fake wiring of `dispatch`: returns given results and records the calls.
 
     Attributes:
-      results: What tries at servers end with, in their order; the last stays.
-      relayed: What handing over ends with, likewise.
-      claimed: What claiming ends with.
-      sent: Ids of the servers tried.
-      handed: Ids of the entries handed to.
-      crashes: Evidence that was spread.
-      on_send: Called before each try ends.
+      results: Results of the attempts at servers, in this order; the last one
+        is returned again and again.
+      relayed: Results of relaying to other entries, likewise.
+      claimed: Result of claiming an idempotency key.
+      sent: Ids of the servers that requests were sent to.
+      handed: Ids of the entries that requests were relayed to.
+      crashes: Evidence of crashes that was sent to other entries.
+      on_send: Called with each request before its attempt returns.
     """
 
     results: list = dataclasses.field(default_factory=list)
@@ -141,7 +150,7 @@
     on_send: Callable[[runs.Outgoing], None] = lambda outgoing: None
 
     def make_wiring(self) -> runs.Wiring:
-        """Returns the closures that `dispatch` is given."""
+        """Returns the closures to pass to `dispatch`."""
         return runs.Wiring(send=self._send,
                            relay=self._relay,
                            claim=lambda call, fingerprint: self.claimed,
@@ -150,60 +159,61 @@
     def _send(self, route, outgoing):
         self.sent.append(route.server.id)
         self.on_send(outgoing)
-        return _next(self.results)
+        return _take_result(self.results)
 
     def _relay(self, route, outgoing):
         del outgoing
         self.handed.append(route.instance)
-        return _next(self.relayed)
+        return _take_result(self.relayed)
 
 
-def _next(results: list):
-    made = results.pop(0) if len(results) > 1 else results[0]
-    return made if isinstance(made,
-                              transport.Attempt) else transport.Attempt(made)
+def _take_result(results: list):
+    result = results.pop(0) if len(results) > 1 else results[0]
+    return result if isinstance(
+        result, transport.Attempt) else transport.Attempt(result)
 
 
 def make_answer(body: bytes = b'ok') -> transport.Answer:
-    """Returns a whole answer, with its length as servers send it."""
+    """Returns a complete answer with its Content-Length, as servers send it."""
     return transport.make_complete_answer(200,
                                           [('Content-Length', str(len(body)))],
                                           body)
 
 
 def make_not_run(reason: outcomes.Reason) -> outcomes.NotRun:
-    """Returns the end of a try that certainly ran nothing."""
+    """Returns the result of an attempt that certainly did not run."""
     return outcomes.NotRun(reason, 'fake')
 
 
-def dispatch_one(dispatcher: dispatchers.Dispatcher, wires: FakeWiring,
+def dispatch_one(dispatcher: dispatchers.Dispatcher, wiring: FakeWiring,
                  call: calls.Call) -> transport.Result:
-    """Carries one call to its outcome."""
+    """Dispatches one call and returns its result."""
     body = bodies.Body(call.raw.read, call.raw.length, 1 << 20)
-    return dispatch.dispatch_call(dispatcher, wires.make_wiring(), call, body,
+    return dispatch.dispatch_call(dispatcher, wiring.make_wiring(), call, body,
                                   traces.NO_SPAN)
 
 
 def run_in_thread(work: Callable[[], object]) -> Callable[[], object]:
-    """Starts work in a thread; returns what waits for its result."""
-    found = []
-    thread = threading.Thread(target=lambda: found.append(work()), daemon=True)
+    """Starts work in a thread; returns a function that waits for its result."""
+    results = []
+    thread = threading.Thread(target=lambda: results.append(work()),
+                              daemon=True)
     thread.start()
 
     def join():
         thread.join(TIMEOUT_S)
-        assert found, 'the work did not end'
-        return found[0]
+        assert results, 'the work did not end in time'
+        return results[0]
 
     return join
 
 
 class ScriptedServer:
-    """Answers each request with the bytes of a script, one step each.
+    """Answers each request with the next step of a script.
 
-    A step is the bytes to send; None sends nothing and keeps the connection
-    open; bytes that end in b'CUT' are sent without it and the connection is
-    closed.
+    A step is the bytes to send. None sends nothing and keeps the connection
+    open. Bytes that end in b'CUT' are sent without this mark, and the
+    connection is closed after them.
     """
 
     def __init__(self, *steps: bytes | None):
@@ -221,7 +231,7 @@
             try:
                 item.shutdown(socket.SHUT_RDWR)
             except OSError:
-                pass  # The other end was first.
+                pass  # The other end closed it first.
             item.close()
         self._thread.join()
 
@@ -232,11 +242,11 @@
             except OSError:
                 return
             self.accepted.append(connection)
-            threading.Thread(target=self._serve,
+            threading.Thread(target=self._serve_connection,
                              args=(connection,),
                              daemon=True).start()
 
-    def _serve(self, connection):
+    def _serve_connection(self, connection):
         try:
             with connection.makefile('rb') as source:
                 while request := _read_request(source):
@@ -253,7 +263,7 @@
 
 
 def _read_request(source: BinaryIO) -> bytes:
-    """Reads one request, its body by its length; b'' at the end."""
+    """Returns one request with a body of Content-Length; b'' at the end."""
     lines = []
     length = 0
     while line := source.readline():
@@ -267,12 +277,12 @@
 
 def make_pool(address: str,
               clock: clocks.Clock | None = None,
-              **rules) -> connections.Pool:
+              **limits) -> connections.Pool:
     """Returns a pool of connections to an address."""
-    return connections.Pool(address, connections.PoolLimits(**rules), clock or
+    return connections.Pool(address, connections.PoolLimits(**limits), clock or
                             clocks.Clock())
 
 
 def make_server_route(liveness: tables.Liveness) -> routes.ServerRoute:
-    """Returns server a with a liveness."""
+    """Returns the route of server a with the given liveness."""
     return routes.ServerRoute('a', '127.0.0.1:9001', liveness=liveness)
