--- a/lentilmoor/transport.py
+++ b/lentilmoor/transport.py
@@ -109,28 +109,28 @@
     return Answer(status, headers, body, None, _do_nothing_on_close)
 
 
-def send_request(pool: connections.Pool, request: OutboundRequest) -> Attempt:
+def send_request(pool: connections.Pool, outbound: OutboundRequest) -> Attempt:
     """Sends a request and reads the start of its answer.
 
     Args:
       pool: Connections to the server.
-      request: What to send.
+      outbound: The request to send.
 
     Returns:
       The result: the answer (complete if it is small) or why there is none.
     """
-    connection = pool.acquire(request.idempotent, request.new_connection,
-                              request.remaining_ms)
+    connection = pool.acquire(outbound.idempotent, outbound.new_connection,
+                              outbound.remaining_ms)
     if isinstance(connection, outcomes.Failed):
         return Attempt(outcomes.NotRun(connection.reason, connection.detail))
-    return Attempt(_exchange(pool, connection, request), connection.reused,
+    return Attempt(_exchange(pool, connection, outbound), connection.reused,
                    connection.opened_at)
 
 
 def _exchange(pool: connections.Pool, connection: connections.Connection,
-              request: OutboundRequest) -> Result:
+              outbound: OutboundRequest) -> Result:
     try:
-        response = _send(pool.limits, connection, request)
+        response = _send(pool.limits, connection, outbound)
     except bodies.BodyError as error:
         pool.discard(connection)
         return outcomes.Unknown(_Reason.BAD_REQUEST, str(error))
@@ -140,29 +140,29 @@
     except _CONNECTION_ERRORS as error:
         pool.discard(connection)
         return outcomes.Unknown(_Reason.CONNECTION_LOST, type(error).__name__)
-    return _read_answer(pool, connection, response, request.method)
+    return _read_answer(pool, connection, response, outbound.method)
 
 
 def _send(limits: connections.PoolLimits, connection: connections.Connection,
-          request: OutboundRequest) -> urllib3.HTTPResponse:
+          outbound: OutboundRequest) -> urllib3.HTTPResponse:
     timeout_ms = connections.find_answer_timeout(limits, connection,
-                                                 request.idempotent,
-                                                 request.remaining_ms)
+                                                 outbound.idempotent,
+                                                 outbound.remaining_ms)
     timeout_ms = min(
-        max(timeout_ms, request.mean_service_ms * REUSED_TIMEOUT_FACTOR),
-        request.remaining_ms)
+        max(timeout_ms, outbound.mean_service_ms * REUSED_TIMEOUT_FACTOR),
+        outbound.remaining_ms)
     connection.http.timeout = timeout_ms / clocks.MS_PER_S
     try:
-        connection.http.request(request.method,
-                                request.target,
-                                body=request.body,
-                                headers=request.headers,
-                                chunked=request.chunked,
+        connection.http.request(outbound.method,
+                                outbound.target,
+                                body=outbound.body,
+                                headers=outbound.headers,
+                                chunked=outbound.chunked,
                                 preload_content=False,
                                 decode_content=False)
     except (BrokenPipeError, ConnectionResetError):
         # The server may have answered before it read the complete body.
-        if request.body is None:
+        if outbound.body is None:
             raise
     return connection.http.getresponse()
 
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -188,13 +188,13 @@
             self):
         used = connections.Connection(None, 0.0, use_count=2)
         new = connections.Connection(None, 0.0, use_count=1)
-        limits = [
+        timeouts = [
             connections.find_answer_timeout(self.limits, item, idempotent,
                                             2_000.0)
             for item in (used, new)
             for idempotent in (True, False)
         ]
-        self.assertEqual(limits, [250.0, 2_000.0, 2_000.0, 2_000.0])
+        self.assertEqual(timeouts, [250.0, 2_000.0, 2_000.0, 2_000.0])
 
     def test_rate_of_new_connections_is_limited(self):
         opened = 0
