--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -12,12 +12,12 @@
 
 from lentilmoor import clocks
 from lentilmoor import connections
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor import shutdowns
 from lentilmoor import signals
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import control
 from lentilmoor.edge import controlstate
 from lentilmoor.edge import departures
@@ -144,13 +144,13 @@
 def _make_entry(platform: ports.Platform, instance: str, clock: clocks.Clock,
                 logger: logs.Logger, socket_options: tuple,
                 started_at: float) -> Entry:
-    rules = connections.Rules(most=12,
-                              idle_ms=8_000.0,
-                              proven_ms=8_000.0,
-                              connect_ms=250.0,
-                              opens_per_s=40.0,
-                              burst=12.0,
-                              socket_options=socket_options)
+    rules = connections.PoolLimits(max_open=12,
+                                   max_idle_ms=8_000.0,
+                                   non_idempotent_idle_ms=8_000.0,
+                                   connect_timeout_ms=250.0,
+                                   opens_per_s=40.0,
+                                   burst=12.0,
+                                   socket_options=socket_options)
     first = platform.settings.first_start
     forwarder = requests.Forwarder(
         clock,
@@ -175,7 +175,7 @@
         wake=entry.hurry.set)
     entry.reporter = reporting.Reporter(
         instance, forwarder,
-        httpcalls.Caller(clock, PEER_CONNECTIONS, socket_options),
+        httpclient.Client(clock, PEER_CONNECTIONS, socket_options),
         entry.actor.tell)
     entry.follower = storecopy.StoreFollower(
         ports.make_peer(instance, platform.settings), entry.reporter,
@@ -305,7 +305,7 @@
           outcome: requests.Outcome) -> None:
     """Writes a line for a request that no server answered."""
     age_ms = round(entry.clock.now() - request.arrived_at)
-    if isinstance(outcome, tries.Answer):
+    if isinstance(outcome, transport.Answer):
         entry.measures.record('answered', str(outcome.status), age_ms)
         return
     if isinstance(outcome, exchange.CallerDisconnected):
--- a/lentilmoor/edge/exchange.py
+++ b/lentilmoor/edge/exchange.py
@@ -23,7 +23,7 @@
 from lentilmoor import connections
 from lentilmoor import headers as header_names
 from lentilmoor import outcomes
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import ports
 
 # Answers to earlier requests that are skipped before the connection is closed.
@@ -70,7 +70,7 @@
       connection_opened_at: When the connection it came over was opened, ms.
     """
 
-    answer: tries.Answer
+    answer: transport.Answer
     fields: ports.AnswerHeaders
     connection_opened_at: float = math.inf
 
@@ -234,25 +234,25 @@
         `ports.HeaderFormat`).
       clock: The clock of `outgoing.deadline_at`.
     """
-    connection = pool.take(outgoing.idempotent, False,
-                           outgoing.deadline_at - clock.now())
+    connection = pool.acquire(outgoing.idempotent, False,
+                              outgoing.deadline_at - clock.now())
     if isinstance(connection, outcomes.Failed):
         return NotSent(connection.reason, connection.detail)
     headers = outgoing.make_headers()
     if headers is None:
-        pool.drop(connection)
+        pool.discard(connection)
         return Withheld()
-    if connection.uses == 1:
+    if connection.use_count == 1:
         share_read_buffer(connection)
     try:
         return _exchange(pool, connection, outgoing, headers, watch,
                          parse_answer_headers, clock)
     except TimeoutError:
-        pool.drop(connection)
+        pool.discard(connection)
         return outcomes.Unknown(_Reason.TIMED_OUT,
                                 'timed out before the answer was complete')
     except _CONNECTION_ERRORS as error:
-        pool.drop(connection)
+        pool.discard(connection)
         return outcomes.Unknown(_Reason.CONNECTION_LOST,
                                 f'{type(error).__name__}: {error}'[:200])
 
@@ -263,16 +263,16 @@
 
     Args:
       pool: Connections to the server.
-      timeout_ms: How long opening may take.
+      timeout_ms: How long opening may acquire.
 
     Returns:
       Why the connection couldn't be opened; None if it is open.
     """
-    connection = pool.take(True, True, timeout_ms)
+    connection = pool.acquire(True, True, timeout_ms)
     if isinstance(connection, outcomes.Failed):
         return connection.reason
     share_read_buffer(connection)
-    pool.put_back(connection)
+    pool.release(connection)
     return None
 
 
@@ -292,10 +292,10 @@
         event = watch.wait_for_event(connection.http.sock,
                                      outgoing.deadline_at - clock.now())
     if event is Event.GONE:
-        pool.drop(connection)
+        pool.discard(connection)
         return CallerDisconnected()
     if event is Event.TIMEOUT:
-        pool.drop(connection, silent=connection.reused)
+        pool.discard(connection, timed_out=connection.reused)
         return outcomes.Unknown(_Reason.TIMED_OUT,
                                 'timed out before the answer began')
     _set_timeout(connection, outgoing, clock)
@@ -310,7 +310,7 @@
         fields = parse_answer_headers(response.status, response.headers)
         fields = dataclasses.replace(fields, closes_connection=True)
     else:
-        pool.drop(connection)
+        pool.discard(connection)
         return outcomes.Unknown(_Reason.ANSWER_CUT,
                                 'only answers to other requests were received')
     return _read_body(pool, connection, outgoing, response, fields)
@@ -357,10 +357,10 @@
             _is_fully_read(connection)):
         if fields.keep_alive_ms is not None:
             connection.keep_alive_ms = fields.keep_alive_ms
-        pool.put_back(connection)
+        pool.release(connection)
     else:
-        pool.drop(connection)
-    answer = tries.make_whole(response.status, headers, body)
+        pool.discard(connection)
+    answer = transport.make_complete_answer(response.status, headers, body)
     return ServerAnswer(answer, fields, connection.opened_at)
 
 
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -364,7 +364,7 @@
 
 
 def _find_pool_limits(forwarder: requests.Forwarder,
-                      service: tables.Service) -> connections.Rules:
+                      service: tables.Service) -> connections.PoolLimits:
     """Returns the limits of the connection pool for a server of a service.
 
     The entries share the connections that a server accepts, as it resets those
@@ -373,10 +373,11 @@
     """
     # An entry that restarted is registered twice for a while.
     entries = {peer.address for peer in forwarder.snapshot.entries.values()}
-    connection_share = connections.share_connections(service.max_connections,
-                                                     len(entries))
+    connection_share = connections.compute_connection_share(
+        service.max_connections, len(entries))
     return dataclasses.replace(forwarder.rules,
-                               most=min(forwarder.rules.most, connection_share))
+                               max_open=min(forwarder.rules.max_open,
+                                            connection_share))
 
 
 def _find_retry_budget(forwarder: requests.Forwarder,
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -15,7 +15,7 @@
 from lentilmoor import problems
 from lentilmoor import responses
 from lentilmoor import shutdowns
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import exchange
 from lentilmoor.edge import ports
 from lentilmoor.edge import requests
@@ -296,7 +296,7 @@
     if isinstance(outcome, exchange.CallerDisconnected):
         request.close_connection = True
         request.sent_headers = True  # No answer is sent, as nobody reads it.
-    elif isinstance(outcome, tries.Answer):
+    elif isinstance(outcome, transport.Answer):
         responses.write_answer(request, parsed_request.fields.request_id,
                                outcome)
     else:
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -10,7 +10,7 @@
 import dataclasses
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor import quarantine
 from lentilmoor.edge import control
@@ -91,7 +91,7 @@
 
     instance: str
     forwarder: requests.Forwarder
-    caller: httpcalls.Caller
+    caller: httpclient.Client
     send_control: Callable[[object], None]
     table: hub.HubTable = dataclasses.field(default_factory=hub.HubTable)
     work_times_asked_at: float = float('-inf')
@@ -336,8 +336,8 @@
       The merged state, or None if the call failed or returned nothing newer.
     """
     result = reporter.caller.call(
-        address, httpcalls.Request('POST', STATE_PATH,
-                                   str(since).encode()), STATE_TIMEOUT_MS,
+        address, httpclient.Request('POST', STATE_PATH,
+                                    str(since).encode()), STATE_TIMEOUT_MS,
         TIMEOUT_MS)
     if isinstance(result, outcomes.Failed) or result.status != 200:
         return None
@@ -353,7 +353,7 @@
     data = reports.encode_report(report)
     sent_at = clock.now()
     result = reporter.caller.call(
-        peer.address, httpcalls.Request('POST', PATH, data),
+        peer.address, httpclient.Request('POST', PATH, data),
         max(TIMEOUT_MS, TIMEOUT_INTERVALS * interval_ms))
     _log_failed_or_slow_reply(reporter, peer, len(data),
                               clock.now() - sent_at, result)
@@ -364,8 +364,8 @@
 
 def _log_failed_or_slow_reply(
         reporter: Reporter, peer: ports.Peer, sent_bytes: int, took_ms: float,
-        result: httpcalls.Reply | outcomes.Failed) -> None:
-    """Logs a failed report, an error status, or a slow reply."""
+        result: httpclient.Reply | outcomes.Failed) -> None:
+    """Logs a failed report , anerrorstatus ,or a slow reply."""
     failed = isinstance(result, outcomes.Failed)
     if not failed and result.status == 200 and took_ms < SLOW_REPLY_MS:
         return
--- a/lentilmoor/edge/requests.py
+++ b/lentilmoor/edge/requests.py
@@ -9,7 +9,7 @@
 from lentilmoor import connections
 from lentilmoor import outcomes
 from lentilmoor import quarantine
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import departures
 from lentilmoor.edge import exchange
 from lentilmoor.edge import matching
@@ -126,7 +126,7 @@
     clock: clocks.Clock
     platform: ports.Platform
     logger: object
-    rules: connections.Rules
+    rules: connections.PoolLimits
     route_index: matching.RouteIndex = dataclasses.field(
         default_factory=lambda: matching.make_index({}))
     snapshot: tables.RoutingSnapshot = dataclasses.field(
@@ -175,7 +175,7 @@
     generator: random.Random = dataclasses.field(default_factory=random.Random)
 
 
-Outcome = (tries.Answer | outcomes.NotRun | outcomes.Unknown |
+Outcome = (transport.Answer | outcomes.NotRun | outcomes.Unknown |
            exchange.CallerDisconnected)
 
 
@@ -207,7 +207,7 @@
     sent_to: set[str] = dataclasses.field(default_factory=set)
     excluded_servers: set[str] = dataclasses.field(default_factory=set)
     may_have_run: bool = False
-    last_failure: tries.Answer | None = None
+    last_failure: transport.Answer | None = None
     on_trial: bool = False
 
     @property
--- a/lentilmoor/edge/subscriptions.py
+++ b/lentilmoor/edge/subscriptions.py
@@ -13,7 +13,7 @@
 import threading
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import outcomes
 from lentilmoor.edge import relays
 from lentilmoor.edge import reporting
@@ -200,7 +200,7 @@
     asked_at = follower.clock.now()
     max_wait_ms = forwarder.age_limits.poll_wait_ms if waits else 0.0
     result = reporter.caller.call(
-        address, httpcalls.Request('POST', PATH, data),
+        address, httpclient.Request('POST', PATH, data),
         max_wait_ms + forwarder.age_limits.poll_reply_ms, CONNECT_TIMEOUT_MS)
     failed = isinstance(result, outcomes.Failed)
     reply = None
--- a/lentilmoor/followups.py
+++ b/lentilmoor/followups.py
@@ -5,7 +5,7 @@
 from lentilmoor import retries
 from lentilmoor import runs
 from lentilmoor import tables
-from lentilmoor import tries
+from lentilmoor import transport
 
 _Reason = outcomes.Reason
 
@@ -14,8 +14,8 @@
     (_Reason.DEADLINE_PASSED, _Reason.BAD_REQUEST, _Reason.CANCELLED))
 
 
-def weigh(run: runs.Run, server: str, sent: tries.Try,
-          version: tuple[int, int]) -> tries.Result | None:
+def weigh(run: runs.Run, server: str, sent: transport.Attempt,
+          version: tuple[int, int]) -> transport.Result | None:
     """Decides whether another try follows; None if it does."""
     dispatcher, call, result = run.dispatcher, run.call, sent.result
     now = dispatcher.clock.now()
@@ -27,7 +27,7 @@
                             reused=sent.reused,
                             retry_after_ms=result.retry_after_ms)
     budget = dispatcher.budget_of(call)
-    if not run.body.may_resend or result.reason in _FINAL:
+    if not run.body.is_resendable or result.reason in _FINAL:
         if isinstance(result, outcomes.NotRun):
             return runs.conclude(run, result)
         return result
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -13,7 +13,7 @@
 from unittest import mock
 
 from lentilmoor import clocks
-from lentilmoor import httpcalls
+from lentilmoor import httpclient
 from lentilmoor import logs
 from lentilmoor import outcomes
 from lentilmoor.edge import control
@@ -164,7 +164,7 @@
                                    load_configuration=load_configuration)
 
     def call(self, address, request, timeout_ms, unused_connect_ms=None):
-        """Calls another entry, as `httpcalls.Caller` does."""
+        """Calls another entry, as `httpclient.Client` does."""
         other = self._fleet.by_address[address]
         wait_s = other.faults.request_delay_s
         if other.faults.frozen or self.faults.frozen:
@@ -176,7 +176,7 @@
         if (wait_s +
                 other.faults.reply_delay_s) * clocks.MS_PER_S >= timeout_ms:
             return outcomes.Failed(outcomes.Reason.TIMED_OUT)
-        return httpcalls.Reply(status, {}, body)
+        return httpclient.Reply(status, {}, body)
 
     def answer(self, target: str, body: bytes) -> tuple[int, bytes]:
         """Handles a request of another entry; returns status and body."""
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -11,7 +11,7 @@
 from lentilmoor import connections
 from lentilmoor import logs
 from lentilmoor import outcomes
-from lentilmoor import tries
+from lentilmoor import transport
 from lentilmoor.edge import exchange
 from lentilmoor.edge import forwarding
 from lentilmoor.edge import keyranges
@@ -26,12 +26,12 @@
 from standins import platform_store
 
 _KEY = 7
-_RULES = connections.Rules(most=12,
-                           idle_ms=8_000.0,
-                           proven_ms=8_000.0,
-                           connect_ms=250.0,
-                           opens_per_s=40.0,
-                           burst=12.0)
+_RULES = connections.PoolLimits(max_open=12,
+                                max_idle_ms=8_000.0,
+                                non_idempotent_idle_ms=8_000.0,
+                                connect_timeout_ms=250.0,
+                                opens_per_s=40.0,
+                                burst=12.0)
 _BOUNDS = ports.Bounds(drain_ms=2_000.0,
                        grace_ms=6_000.0,
                        retry_ratio=0.2,
@@ -134,7 +134,7 @@
             timer.start()
             self.addCleanup(timer.join)
         outcome = self._forward()
-        self.assertIsInstance(outcome, tries.Answer)
+        self.assertIsInstance(outcome, transport.Answer)
         self.assertEqual(outcome.status, 200)
         self.assertEqual(self.new_owner.arrivals, 2)
         self.assertEqual(self.old_owner.arrivals, 1)
@@ -154,7 +154,7 @@
             shared_work_ms=220.0)
         threading.Timer(0.18, self._publish, (self.new_owner.id,)).start()
         outcome = self._forward()
-        self.assertIsInstance(outcome, tries.Answer)
+        self.assertIsInstance(outcome, transport.Answer)
         self.assertEqual(outcome.status, 200)
         self.assertEqual((self.old_owner.arrivals, self.new_owner.arrivals),
                          (1, 1))
@@ -252,7 +252,8 @@
         self.forwarder.snapshot = dataclasses.replace(self.forwarder.snapshot,
                                                       entries=entries)
         self._forward()
-        self.assertEqual(self.forwarder.pools[self.old_owner.id].rules.most, 3)
+        self.assertEqual(
+            self.forwarder.pools[self.old_owner.id].limits.max_open, 3)
 
     def test_a_rejecting_owner_is_retried(self):
         outcome = self._forward()
@@ -273,7 +274,7 @@
             work_ms=4_000.0, answer_count=100)
         deadline = time.monotonic() + 3.0
         while time.monotonic() < deadline:
-            if isinstance(self._forward(), tries.Answer):
+            if isinstance(self._forward(), transport.Answer):
                 return
             time.sleep(0.05)
         self.fail('refused for 3 s, though the server answers in 5 ms')
--- a/tests/test_edge_suspects.py
+++ b/tests/test_edge_suspects.py
@@ -26,12 +26,12 @@
 _ROUTE = tables.Route('r', 'h', '/', tables.RepeatPolicy.IDEMPOTENT, False,
                       (tables.RouteTarget('orders', 1.0),), 3, 3_000.0, 500.0,
                       1)
-_RULES = connections.Rules(most=4,
-                           idle_ms=8_000.0,
-                           proven_ms=8_000.0,
-                           connect_ms=250.0,
-                           opens_per_s=40.0,
-                           burst=12.0)
+_RULES = connections.PoolLimits(max_open=4,
+                                max_idle_ms=8_000.0,
+                                non_idempotent_idle_ms=8_000.0,
+                                connect_timeout_ms=250.0,
+                                opens_per_s=40.0,
+                                burst=12.0)
 
 
 def _make_request(target: str) -> requests.Request:
@@ -365,10 +365,10 @@
         _, pool = self._add_server(True)
         self.assertIsNone(exchange.try_connect(pool, 100.0))
         self.assertIsNone(exchange.try_connect(pool, 100.0))
-        self.assertEqual(pool.row.opened, 2)
-        taken = pool.take(True, False, 100.0)
-        self.assertEqual(pool.row.opened, 2)
-        pool.drop(taken)
+        self.assertEqual(pool.state.opened_count, 2)
+        taken = pool.acquire(True, False, 100.0)
+        self.assertEqual(pool.state.opened_count, 2)
+        pool.discard(taken)
 
 
 if __name__ == '__main__':
