--- a/lentilmoor/edge/following.py
+++ b/lentilmoor/edge/following.py
@@ -141,7 +141,7 @@
 
     Args:
       follower: State of the entry that follows the store.
-      generation: Value of `follower.begun` for this thread; it ends when that
+      generation: Value of `follower.start_count` for this thread; it ends when that
         changes.
       reads: Whether to read the store immediately, without waiting for the next
         read to be due.
@@ -207,7 +207,7 @@
 
     Args:
       follower: State of the entry that follows the store.
-      generation: Value of `follower.begun` for the calling thread. The result
+      generation: Value of `follower.start_count` for the calling thread. The result
         is discarded if a newer thread follows the store.
 
     Returns:
--- a/lentilmoor/edge/rebalancing.py
+++ b/lentilmoor/edge/rebalancing.py
@@ -96,12 +96,13 @@
     """State of a plan while transfers are added to it.
 
     Attributes:
-      owned: Ranges with their owners after the transfers planned so far.
-      held: Load by server after these transfers.
+      ranges: Ranges with their owners after the transfers planned so far.
+      server_loads: Load by server after these transfers.
       loads: Load by key.
       capacities: Weight by server that may own keys.
       goals: Target load by server, without that of a dedicated heavy key.
-      taken: Load of the heavy key that a server is dedicated to, by server.
+      dedicated_loads: Load of the heavy key that a server is dedicated to, by
+        server.
     """
 
     ranges: list[keyranges.KeyRange]
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -339,7 +339,7 @@
         self.sent: list[tuple[str, reports.Report]] = []
 
     def call(self, address, request, unused_timeout_ms):
-        """Replaces `httpcalls.Caller.call`."""
+        """Replaces `httpclient.Client.call`."""
         self.sent.append((address, reports.decode_report(request.body)))
         if address not in self.replies:
             return outcomes.Failed(outcomes.Reason.CONNECT_FAILED, 'down')
