--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -208,7 +208,7 @@
         elif isinstance(message, Probe):
             self._owned.entry_lease_due_at = 0.0
         elif isinstance(message, Leave):
-            leases.leave(self._context, message.done)
+            leases.release_leases(self._context, message.done)
         elif isinstance(message, Tick):
             self._note_late(message)
         self._work()
@@ -250,11 +250,11 @@
     def _work_at(self, now: float) -> None:
         self._take_proven(now)
         self._expire_servers(now)
-        leases.keep(self._context, now)
+        leases.maintain_leases(self._context, now)
         for name, role in self._owned.roles.items():
-            elections.stand(self._context, name, role, now)
-            roles.coordinate(self._context, name, role, now)
-        elections.make_way(self._context, now)
+            elections.run_for_coordinator(self._context, name, role, now)
+            roles.run_coordinator(self._context, name, role, now)
+        elections.hand_over_to_larger(self._context, now)
         savedsuspects.update_store(self._context, now)
 
     def _call(self,
@@ -306,14 +306,14 @@
                 configuration.routes)
             for name in configuration.list_keyed():
                 owned.roles.setdefault(name, controlstate.CoordinatorRole())
-        elections.follow_rivals(self._context)
+        elections.resign_lost_roles(self._context)
         self._publish()
 
     def _take_restore(self, before: ports.StoreSnapshot) -> None:
         """Keeps or writes again what a restored store may have lost."""
         owned = self._owned
-        elections.keep_assignments(owned, before)
-        leases.drop_lost(owned)
+        elections.retain_assignments(owned, before)
+        leases.drop_missing_leases(owned)
 
     def _take_servers(self, everything: ports.StoreSnapshot,
                       now: float) -> None:
--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -8,24 +8,24 @@
 from lentilmoor.edge import ports
 from lentilmoor.edge import revisions
 
-KEEP_MS = 450.0
+COORDINATOR_RENEW_INTERVAL_MS = 450.0
 # Longest pause before an entry stands for coordinator: the first to do so
 # spares the others the call.
-STAND_MS = 150.0
-STAND_AGAIN_MS = 500.0
+MAX_CANDIDACY_DELAY_MS = 150.0
+CANDIDACY_RETRY_MS = 500.0
 # An entry on a small machine stands so much later; by the second figure if an
 # entry on a larger one is registered.
-SMALL_MS = 300.0
-LARGER_MS = 1_000.0
+SMALL_ENTRY_DELAY_MS = 300.0
+LARGER_ENTRY_PRIORITY_MS = 1_000.0
 # One that coordinates nevertheless makes way once it has done so for this long.
-MAKE_WAY_MS = 1_000.0
+MIN_TENURE_MS = 1_000.0
 # A service gets its first assignment after its servers had this time to
 # register, unless none came.
-SETTLE_MS = 1_500.0
+REGISTRATION_WAIT_MS = 1_500.0
 
 
-def stand(context: controlstate.Context, name: str,
-          role: controlstate.CoordinatorRole, now: float) -> None:
+def run_for_coordinator(context: controlstate.Context, name: str,
+                        role: controlstate.CoordinatorRole, now: float) -> None:
     """Stands for coordinator if there is none."""
     owned = context.owned
     coordinator = owned.store_snapshot.coordinators.get(name)
@@ -44,19 +44,20 @@
     if not _may_begin(context, name, now):
         return
     if not role.candidacy_at:
-        pause_ms = STAND_MS * context.forwarder.generator.random()
+        pause_ms = MAX_CANDIDACY_DELAY_MS * context.forwarder.generator.random()
         if context.peer.small:
-            pause_ms += LARGER_MS if _find_larger(context) else SMALL_MS
+            pause_ms += LARGER_ENTRY_PRIORITY_MS if _find_larger(
+                context) else SMALL_ENTRY_DELAY_MS
         role.candidacy_at = now + (0.0 if role.coordination_state else pause_ms)
     if now < role.candidacy_at:
         return
-    role.candidacy_at = now + STAND_AGAIN_MS
+    role.candidacy_at = now + CANDIDACY_RETRY_MS
     role.is_call_pending = True
     context.call(lambda: _take_role(context, name, replaced),
                  lambda result, sent: _role_taken(context, name, role, result))
 
 
-def make_way(context: controlstate.Context, now: float) -> None:
+def hand_over_to_larger(context: controlstate.Context, now: float) -> None:
     """Has an entry on a small machine leave its roles to a larger one."""
     owned = context.owned
     if owned.handover_reason:
@@ -70,7 +71,7 @@
     if not held or not _find_larger(context):
         return
     if now - max(role.coordination_state.active_since
-                 for role in held) < MAKE_WAY_MS:
+                 for role in held) < MIN_TENURE_MS:
         return
     owned.handover_reason = 'an entry on a larger machine is there'
     owned.lease_due_at = 0.0
@@ -80,7 +81,7 @@
     """Leaves others time to take the roles."""
     owned.handover_reason = ''
     for role in owned.roles.values():
-        role.candidacy_at = now + LARGER_MS
+        role.candidacy_at = now + LARGER_ENTRY_PRIORITY_MS
 
 
 def _find_larger(context: controlstate.Context) -> bool:
@@ -89,12 +90,12 @@
                for peer in context.owned.store_snapshot.entries.values())
 
 
-def follow_rivals(context: controlstate.Context) -> None:
+def resign_lost_roles(context: controlstate.Context) -> None:
     """Gives up roles that another entry has taken."""
     for name, role in context.owned.roles.items():
         if role.coordination_state is None:
             continue
-        follow_restore(context, name, role.coordination_state)
+        apply_restore(context, name, role.coordination_state)
         coordinator = context.owned.store_snapshot.coordinators.get(name)
         rival = (coordinator is not None and
                  coordinator.instance != context.owned.instance and
@@ -107,8 +108,8 @@
             resign(context, name, role, 'another entry has coordinated')
 
 
-def follow_restore(context: controlstate.Context, name: str,
-                   state: ownership.Coordination) -> None:
+def apply_restore(context: controlstate.Context, name: str,
+                  state: ownership.Coordination) -> None:
     """Has a coordinator take in that the store was restored, if it was."""
     everything = context.owned.store_snapshot
     if revisions.find_era(everything.revision) <= state.era:
@@ -160,8 +161,8 @@
         [owned.peer_assignments.get(name), assignment])
 
 
-def keep_assignments(owned: controlstate.ControlState,
-                     before: ports.StoreSnapshot) -> None:
+def retain_assignments(owned: controlstate.ControlState,
+                       before: ports.StoreSnapshot) -> None:
     """Keeps what was known of assignments, as a restored store may lack it.
 
     Args:
@@ -180,7 +181,7 @@
     if name in context.owned.store_snapshot.assignments:
         return True
     return bool(servers) and (now - min(item.seen_at for item in servers)
-                              >= SETTLE_MS)
+                              >= REGISTRATION_WAIT_MS)
 
 
 def _take_role(context: controlstate.Context, name: str,
@@ -217,7 +218,7 @@
     if (owned.coordinator_lease is None or
             owned.coordinator_lease.id != lease.id):
         owned.coordinator_lease, owned.lease_renewed_at = lease, sent_at
-        owned.lease_due_at = context.clock.now() + KEEP_MS
+        owned.lease_due_at = context.clock.now() + COORDINATOR_RENEW_INTERVAL_MS
     if owned.handover_reason:
         role.is_call_pending, owned.lease_due_at = False, 0.0
         return
--- a/lentilmoor/edge/leases.py
+++ b/lentilmoor/edge/leases.py
@@ -11,17 +11,17 @@
 
 # An entry's own lease, by which the others count it.
 ENTRY_LEASE_MS = 9_000.0
-ENTRY_KEEP_MS = 1_000.0
+ENTRY_RENEW_INTERVAL_MS = 1_000.0
 
 
-def keep(context: controlstate.Context, now: float) -> None:
+def maintain_leases(context: controlstate.Context, now: float) -> None:
     """Opens the entry's lease if there is none; renews or ends what is due."""
     owned = context.owned
     _keep_role_lease(context, now)
     if owned.entry_lease is None:
         _open_entry_lease(context, now)
     elif owned.entry_lease_due_at <= now and not owned.is_entry_lease_pending:
-        owned.entry_lease_due_at = now + ENTRY_KEEP_MS
+        owned.entry_lease_due_at = now + ENTRY_RENEW_INTERVAL_MS
         owned.is_entry_lease_pending = True
         _call(context, owned.entry_lease, owned.is_stopping and
               _is_certain(context), _entry_kept)
@@ -36,7 +36,7 @@
     # A grant that may still arrive must not meet a successor's.
     if owned.handover_reason and owned.new_connection_grants:
         return
-    owned.lease_due_at = now + elections.KEEP_MS
+    owned.lease_due_at = now + elections.COORDINATOR_RENEW_INTERVAL_MS
     _call(context, owned.coordinator_lease,
           bool(owned.handover_reason) and _is_certain(context), _kept)
 
@@ -70,7 +70,7 @@
         lambda result, sent_at: take(context, lease, ends, result, sent_at))
 
 
-def drop_lost(owned: controlstate.ControlState) -> None:
+def drop_missing_leases(owned: controlstate.ControlState) -> None:
     """Drops leases of what a restored store lacks, which is written anew.
 
     Such a lease may be gone, or have been given to another entry since.
@@ -89,7 +89,7 @@
     if (owned.entry_lease_due_at > now or owned.is_entry_lease_pending or
             owned.is_stopping):
         return
-    owned.entry_lease_due_at = now + ENTRY_KEEP_MS
+    owned.entry_lease_due_at = now + ENTRY_RENEW_INTERVAL_MS
     owned.is_entry_lease_pending = True
     store = context.platform.store
 
@@ -179,7 +179,8 @@
             owned.lease_due_at = 0.0
 
 
-def leave(context: controlstate.Context, done: threading.Event) -> None:
+def release_leases(context: controlstate.Context,
+                   done: threading.Event) -> None:
     """Begins to give up all leases, as this process is about to end.
 
     Roles are kept until the store has acknowledged the end of their lease:
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -15,13 +15,13 @@
 from lentilmoor.edge import tables
 
 
-def coordinate(context: controlstate.Context, name: str,
-               role: controlstate.CoordinatorRole, now: float) -> None:
+def run_coordinator(context: controlstate.Context, name: str,
+                    role: controlstate.CoordinatorRole, now: float) -> None:
     """Has the coordinator of a service do what is due now."""
     state, owned = role.coordination_state, context.owned
     if state is None:
         return
-    elections.follow_restore(context, name, state)
+    elections.apply_restore(context, name, state)
     if state.superseded:
         elections.resign(context, name, role,
                          'a server has seen a higher fence')
--- a/tests/test_edge_elections.py
+++ b/tests/test_edge_elections.py
@@ -38,20 +38,22 @@
         role = controlstate.CoordinatorRole()
         while not context.call.called:
             time_.advance(_STEP_MS)
-            elections.stand(context, 'x', role, time_.at)
+            elections.run_for_coordinator(context, 'x', role, time_.at)
         return time_.at - server.seen_at
 
     def test_pauses_begin_when_the_service_may_have_one(self):
         self.assertAlmostEqual(self._find_begin(False, 0.0),
-                               elections.SETTLE_MS,
+                               elections.REGISTRATION_WAIT_MS,
                                delta=2 * _STEP_MS)
         self.assertAlmostEqual(self._find_begin(False, 1.0),
-                               elections.SETTLE_MS + elections.STAND_MS,
+                               elections.REGISTRATION_WAIT_MS +
+                               elections.MAX_CANDIDACY_DELAY_MS,
                                delta=2 * _STEP_MS)
 
     def test_small_machines_leave_it_to_larger_ones(self):
         self.assertAlmostEqual(self._find_begin(True, 0.0),
-                               elections.SETTLE_MS + elections.LARGER_MS,
+                               elections.REGISTRATION_WAIT_MS +
+                               elections.LARGER_ENTRY_PRIORITY_MS,
                                delta=2 * _STEP_MS)
 
 
--- a/tests/test_edge_handover.py
+++ b/tests/test_edge_handover.py
@@ -199,7 +199,7 @@
         for phase_ms in range(0, 2_001, 100):
             with self.subTest(phase_ms=phase_ms):
                 world = _make_world()
-                world.run(phase_ms % elections.KEEP_MS)
+                world.run(phase_ms % elections.COORDINATOR_RENEW_INTERVAL_MS)
                 world.silent = True
                 began = world.time.at
                 world.run(phase_ms)
