--- a/lentilmoor/edge/elections.py
+++ b/lentilmoor/edge/elections.py
@@ -1,4 +1,4 @@
-"""How an entry becomes the coordinator of a keyed service, and ceases to be."""
+"""Elects the entry that coordinates a keyed service, and ends its role."""
 
 from lentilmoor import outcomes
 from lentilmoor.edge import controlstate
@@ -9,126 +9,130 @@
 from lentilmoor.edge import revisions
 
 COORDINATOR_RENEW_INTERVAL_MS = 450.0
-# Longest pause before an entry stands for coordinator: the first to do so
-# spares the others the call.
+# Upper bound of the random delay before an entry claims a role. Once one entry
+# has claimed it, the others don't need to call the store.
 MAX_CANDIDACY_DELAY_MS = 150.0
 CANDIDACY_RETRY_MS = 500.0
-# An entry on a small machine stands so much later; by the second figure if an
-# entry on a larger one is registered.
+# Additional delay of an entry on a small machine: the first applies if no entry
+# on a larger machine is registered, the second if one is.
 SMALL_ENTRY_DELAY_MS = 300.0
 LARGER_ENTRY_PRIORITY_MS = 1_000.0
-# One that coordinates nevertheless makes way once it has done so for this long.
+# Time for which an entry on a small machine coordinates, at least, before it
+# hands over to an entry on a larger machine.
 MIN_TENURE_MS = 1_000.0
-# A service gets its first assignment after its servers had this time to
-# register, unless none came.
+# Time from the registration of a service's first server to its first
+# assignment, so that the other servers can register.
 REGISTRATION_WAIT_MS = 1_500.0
 
 
 def run_for_coordinator(context: controlstate.Context, name: str,
                         role: controlstate.CoordinatorRole, now: float) -> None:
-    """Stands for coordinator if there is none."""
+    """Claims the role of coordinator of a service that has none."""
     owned = context.owned
     coordinator = owned.store_snapshot.coordinators.get(name)
     if owned.handover_reason or role.is_call_pending or owned.store_lost_at:
         return
-    replaced = 0
+    replaced_revision = 0
     if coordinator is not None and coordinator.instance != owned.instance:
-        if not _is_succeeded(role, coordinator):
+        if not _has_succeeded(role, coordinator):
             role.candidacy_at = 0.0
             return
-        replaced = coordinator.registration_revision
+        replaced_revision = coordinator.registration_revision
     elif (coordinator is not None and role.coordination_state is not None and
           owned.coordinator_lease is not None):
         return
-    # Pauses begin here, or all would have passed when the service may begin.
-    if not _may_begin(context, name, now):
+    # The delay starts only when the service may have a coordinator. Otherwise
+    # the delays of all entries would have passed by then, and all entries would
+    # claim the role at the same time.
+    if not _may_elect(context, name, now):
         return
     if not role.candidacy_at:
         pause_ms = MAX_CANDIDACY_DELAY_MS * context.forwarder.generator.random()
         if context.peer.small:
-            pause_ms += LARGER_ENTRY_PRIORITY_MS if _find_larger(
+            pause_ms += LARGER_ENTRY_PRIORITY_MS if _is_larger_registered(
                 context) else SMALL_ENTRY_DELAY_MS
         role.candidacy_at = now + (0.0 if role.coordination_state else pause_ms)
     if now < role.candidacy_at:
         return
     role.candidacy_at = now + CANDIDACY_RETRY_MS
     role.is_call_pending = True
-    context.call(lambda: _take_role(context, name, replaced),
-                 lambda result, sent: _role_taken(context, name, role, result))
+    context.call(
+        lambda: _claim_role(context, name, replaced_revision),
+        lambda result, sent: _handle_claim_result(context, name, role, result))
 
 
 def hand_over_to_larger(context: controlstate.Context, now: float) -> None:
-    """Has an entry on a small machine leave its roles to a larger one."""
+    """Hands the roles of a small machine over to an entry on a larger one."""
     owned = context.owned
     if owned.handover_reason:
         if owned.coordinator_lease is None and not owned.is_stopping:
-            _note_handed_over(owned, now)
+            _finish_handover(owned, now)
         return
     if (not context.peer.small or owned.store_lost_at or
             owned.coordinator_lease is None):
         return
     held = [role for role in owned.roles.values() if role.coordination_state]
-    if not held or not _find_larger(context):
+    if not held or not _is_larger_registered(context):
         return
     if now - max(role.coordination_state.active_since
                  for role in held) < MIN_TENURE_MS:
         return
-    owned.handover_reason = 'an entry on a larger machine is there'
+    owned.handover_reason = 'an entry on a larger machine is registered'
     owned.lease_due_at = 0.0
 
 
-def _note_handed_over(owned: controlstate.ControlState, now: float) -> None:
-    """Leaves others time to take the roles."""
+def _finish_handover(owned: controlstate.ControlState, now: float) -> None:
+    """Delays the entry's next candidacies so that others can take the roles."""
     owned.handover_reason = ''
     for role in owned.roles.values():
         role.candidacy_at = now + LARGER_ENTRY_PRIORITY_MS
 
 
-def _find_larger(context: controlstate.Context) -> bool:
+def _is_larger_registered(context: controlstate.Context) -> bool:
     """Returns whether an entry on a machine that isn't small is registered."""
     return any(not peer.small
                for peer in context.owned.store_snapshot.entries.values())
 
 
 def resign_lost_roles(context: controlstate.Context) -> None:
-    """Gives up roles that another entry has taken."""
+    """Resigns from roles that another entry has taken over."""
     for name, role in context.owned.roles.items():
         if role.coordination_state is None:
             continue
         apply_restore(context, name, role.coordination_state)
         coordinator = context.owned.store_snapshot.coordinators.get(name)
-        rival = (coordinator is not None and
-                 coordinator.instance != context.owned.instance and
-                 not _is_succeeded(role, coordinator))
+        is_replaced = (coordinator is not None and
+                       coordinator.instance != context.owned.instance and
+                       not _has_succeeded(role, coordinator))
         saved = context.owned.store_snapshot.assignments.get(name)
-        if rival:
-            resign(context, name, role, 'another entry coordinates')
+        if is_replaced:
+            resign(context, name, role, 'another entry is the coordinator')
         elif saved and keyranges.is_later_term(
                 saved.assignment, role.coordination_state.assignment):
-            resign(context, name, role, 'another entry has coordinated')
+            resign(context, name, role, 'another entry has saved a later term')
 
 
 def apply_restore(context: controlstate.Context, name: str,
                   state: ownership.Coordination) -> None:
-    """Has a coordinator take in that the store was restored, if it was."""
-    everything = context.owned.store_snapshot
-    if revisions.find_era(everything.revision) <= state.era:
+    """Adapts a coordinator to a restore of the store, if there was one."""
+    snapshot = context.owned.store_snapshot
+    if revisions.find_era(snapshot.revision) <= state.era:
         return
-    saved = everything.assignments.get(name)
-    coordination.handle_store_restored(state, everything.revision,
+    saved = snapshot.assignments.get(name)
+    coordination.handle_store_restored(state, snapshot.revision,
                                        saved.revision if saved else 0)
     context.logger.info('coordination_continued',
                         service=name,
-                        revision=revisions.format_revision(everything.revision),
+                        revision=revisions.format_revision(snapshot.revision),
                         saved_revision=revisions.format_revision(
                             state.revision))
 
 
-def _is_succeeded(role: controlstate.CoordinatorRole,
-                  coordinator: ports.Peer) -> bool:
+def _has_succeeded(role: controlstate.CoordinatorRole,
+                   coordinator: ports.Peer) -> bool:
     """Returns whether this entry has taken over from a listed coordinator.
 
-    A restore of the store may bring back the election that came before.
+    A restore of the store may bring back the result of an earlier election.
     """
     return role.coordination_state is not None and (
         0 < coordinator.registration_revision <=
@@ -137,46 +141,47 @@
 
 def resign(context: controlstate.Context, name: str,
            role: controlstate.CoordinatorRole, reason: str) -> None:
-    """Gives up coordinating a service.
+    """Ends this entry's coordination of a service.
 
     Args:
-      context: The actor's.
-      name: The service.
-      role: This entry's part in it.
-      reason: Why, for the log.
+      context: The control actor's context.
+      name: Name of the service.
+      role: This entry's role for the service.
+      reason: Reason for the log.
     """
     context.logger.info('coordination_ended', service=name, reason=reason)
-    _keep_newest(context.owned, name, role.coordination_state.assignment)
+    _retain_newest(context.owned, name, role.coordination_state.assignment)
     role.coordination_state = None
     context.forwarder.coordinated = {
-        service: told
-        for service, told in context.forwarder.coordinated.items()
+        service: status
+        for service, status in context.forwarder.coordinated.items()
         if service != name
     }
 
 
-def _keep_newest(owned: controlstate.ControlState, name: str,
-                 assignment: keyranges.Assignment) -> None:
+def _retain_newest(owned: controlstate.ControlState, name: str,
+                   assignment: keyranges.Assignment) -> None:
     owned.peer_assignments[name] = keyranges.find_newest(
         [owned.peer_assignments.get(name), assignment])
 
 
 def retain_assignments(owned: controlstate.ControlState,
                        before: ports.StoreSnapshot) -> None:
-    """Keeps what was known of assignments, as a restored store may lack it.
+    """Retains the assignments from before a restore that may have lost them.
 
     Args:
-      owned: What is believed.
-      before: What the store held before the restore.
+      owned: State of the control actor.
+      before: Content of the store before the restore.
     """
     for name, saved in before.assignments.items():
-        _keep_newest(owned, name, saved.assignment)
+        _retain_newest(owned, name, saved.assignment)
 
 
-def _may_begin(context: controlstate.Context, name: str, now: float) -> bool:
+def _may_elect(context: controlstate.Context, name: str, now: float) -> bool:
+    """Returns whether a service may have a coordinator yet."""
     servers = [
-        item for item in context.owned.servers.values()
-        if item.service == name and not item.draining
+        server for server in context.owned.servers.values()
+        if server.service == name and not server.draining
     ]
     if name in context.owned.store_snapshot.assignments:
         return True
@@ -184,14 +189,18 @@
                               >= REGISTRATION_WAIT_MS)
 
 
-def _take_role(context: controlstate.Context, name: str,
-               replaced: int) -> object:
-    """Takes the role in the store; run by a thread.
+def _claim_role(context: controlstate.Context, name: str,
+                replaced_revision: int) -> object:
+    """Claims the role in the store; runs in a thread.
 
     Args:
-      context: The actor's.
-      name: The service.
-      replaced: Revision of the election that is overwritten; 0 if none.
+      context: The control actor's context.
+      name: Name of the service.
+      replaced_revision: Revision of the election that the claim overwrites; 0
+        if there is none.
+
+    Returns:
+      The lease and the time at which the claim was sent, ms, or the failure.
     """
     owned, store = context.owned, context.platform.store
     lease = owned.coordinator_lease
@@ -200,14 +209,15 @@
         lease = store.open_lease(ownership.COORDINATOR_LEASE_MS)
         if isinstance(lease, outcomes.Failed):
             return lease
-    taken = store.claim_coordination(name, context.peer, lease, replaced)
-    if isinstance(taken, outcomes.Failed):
-        return taken
+    claim = store.claim_coordination(name, context.peer, lease,
+                                     replaced_revision)
+    if isinstance(claim, outcomes.Failed):
+        return claim
     return lease, sent_at
 
 
-def _role_taken(context: controlstate.Context, name: str,
-                role: controlstate.CoordinatorRole, result) -> None:
+def _handle_claim_result(context: controlstate.Context, name: str,
+                         role: controlstate.CoordinatorRole, result) -> None:
     owned = context.owned
     if isinstance(result, outcomes.Failed):
         role.is_call_pending = False
@@ -226,43 +236,46 @@
             not role.coordination_state.superseded):
         role.is_call_pending = False
         return
-    _begin(context, name, role)
+    _load_assignment(context, name, role)
 
 
-def _begin(context: controlstate.Context, name: str,
-           role: controlstate.CoordinatorRole) -> None:
-    """Begins from the assignment as it is now: what was heard may be older."""
+def _load_assignment(context: controlstate.Context, name: str,
+                     role: controlstate.CoordinatorRole) -> None:
+    """Reads the current assignment, as the entry's copy may be older."""
 
-    def take(saved, unused_sent_at) -> None:
+    def handle_loaded(saved, unused_sent_at) -> None:
         if isinstance(saved, outcomes.Failed):
-            _note_not_begun(context, name, role, saved)
+            _handle_start_failure(context, name, role, saved)
         else:
-            _save_first(context, name, role, saved)
+            _save_initial_assignment(context, name, role, saved)
 
-    context.call(lambda: context.platform.store.load_assignment(name), take)
+    context.call(lambda: context.platform.store.load_assignment(name),
+                 handle_loaded)
 
 
-def _save_first(context: controlstate.Context, name: str,
-                role: controlstate.CoordinatorRole,
-                saved: ports.SavedAssignment | None) -> None:
-    """Saves the assignment that this coordinator begins with."""
+def _save_initial_assignment(context: controlstate.Context, name: str,
+                             role: controlstate.CoordinatorRole,
+                             saved: ports.SavedAssignment | None) -> None:
+    """Saves this coordinator's first assignment, then starts to coordinate."""
     owned = context.owned
     revision = saved.revision if saved else 0
-    known = [
+    known_assignments = [
         saved.assignment if saved else None,
         context.forwarder.snapshot.assignments.get(name)
     ]
     servers = {
-        item.id: item for item in owned.servers.values() if item.service == name
+        server.id: server
+        for server in owned.servers.values()
+        if server.service == name
     }
     era = revisions.find_era(max(revision, owned.store_snapshot.revision))
-    plan = coordination.plan_succession(name, known, servers, owned.instance,
-                                        era)
+    plan = coordination.plan_succession(name, known_assignments, servers,
+                                        owned.instance, era)
     assignment = plan.assignment
 
-    def take(result, unused_sent_at) -> None:
+    def handle_saved(result, unused_sent_at) -> None:
         if isinstance(result, outcomes.Failed):
-            _note_not_begun(context, name, role, result)
+            _handle_start_failure(context, name, role, result)
             return
         role.is_call_pending = False
         if owned.handover_reason:
@@ -281,12 +294,12 @@
         context.publish()
 
     context.call(lambda: context.platform.store.save(assignment, revision),
-                 take)
+                 handle_saved)
 
 
-def _note_not_begun(context: controlstate.Context, name: str,
-                    role: controlstate.CoordinatorRole,
-                    failed: outcomes.Failed) -> None:
+def _handle_start_failure(context: controlstate.Context, name: str,
+                          role: controlstate.CoordinatorRole,
+                          failed: outcomes.Failed) -> None:
     role.is_call_pending = False
     context.logger.info('coordination_not_begun',
                         service=name,
