--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -1,4 +1,4 @@
-"""Carries out what the coordinator of a keyed service decides."""
+"""Executes the decisions of the coordinator of a keyed service."""
 
 import dataclasses
 
@@ -17,7 +17,7 @@
 
 def run_coordinator(context: controlstate.Context, name: str,
                     role: controlstate.CoordinatorRole, now: float) -> None:
-    """Has the coordinator of a service do what is due now."""
+    """Executes what is due now if this entry coordinates the service."""
     state, owned = role.coordination_state, context.owned
     if state is None:
         return
@@ -37,9 +37,9 @@
                     state.predecessor_save_revision):
         coordination.handle_predecessor_ended(state, now)
     servers = {
-        item.id: item
-        for item in owned.servers.values()
-        if item.service == name and item.id not in owned.ended_servers
+        server.id: server
+        for server in owned.servers.values()
+        if server.service == name and server.id not in owned.ended_servers
     }
     view = ownership.ServiceView(
         servers, frozenset(owned.ended_servers), owned.departed_servers,
@@ -48,32 +48,34 @@
             servers.values(), now,
             ratelimits.list_rates(context.forwarder.rate_limits)),
         role.load_table.list_work_means(servers.values()))
-    known = len(state.moves)
+    move_count_before = len(state.moves)
     for action in coordination.plan_actions(state, view, now):
-        _carry_out(context, state, action)
-    if len(state.moves) > known:
-        _log_moves(context, state, view, len(state.moves) - known)
-    told = tables.CoordinatorStatus(
+        _execute_action(context, state, action)
+    if len(state.moves) > move_count_before:
+        _log_moves(context, state, view, len(state.moves) - move_count_before)
+    status = tables.CoordinatorStatus(
         moves.list_unserved(state),
         role.load_table.estimate_work_means(servers.values()))
-    context.forwarder.coordinated = context.forwarder.coordinated | {name: told}
+    context.forwarder.coordinated = context.forwarder.coordinated | {
+        name: status
+    }
 
 
 def _log_moves(context: controlstate.Context, state: ownership.Coordination,
                view: ownership.ServiceView, count: int) -> None:
-    found = rebalancing.measure_imbalance(state.assignment.ranges, view.loads,
-                                          view.capacities)
+    imbalance = rebalancing.measure_imbalance(state.assignment.ranges,
+                                              view.loads, view.capacities)
     context.logger.info('moves_planned',
                         service=state.assignment.service,
                         planned=count,
                         under_way=len(state.moves),
-                        **dataclasses.asdict(found))
+                        **dataclasses.asdict(imbalance))
 
 
 def _is_replaced(context: controlstate.Context,
                  instance: str,
                  after_revision: int = 0) -> bool:
-    """Returns whether a later process runs in an instance's place.
+    """Returns whether a later process has replaced an instance.
 
     Processes that registered before the given instance don't count: they stay
     listed until their leases expire.
@@ -84,26 +86,27 @@
       after_revision: Store revision at which the instance was still running.
         Registrations up to this revision are ignored.
     """
-    place = instance.rpartition('.')[0]
+    entry_name = instance.rpartition('.')[0]
     entries = context.owned.store_snapshot.entries
     if instance in entries:
         after_revision = max(after_revision,
                              entries[instance].registration_revision)
-    return bool(place) and any(
-        other.rpartition('.')[0] == place and
+    return bool(entry_name) and any(
+        other.rpartition('.')[0] == entry_name and
         peer.registration_revision > after_revision
         for other, peer in entries.items())
 
 
-def _carry_out(context: controlstate.Context, state: ownership.Coordination,
-               action: ownership.Action) -> None:
+def _execute_action(context: controlstate.Context,
+                    state: ownership.Coordination,
+                    action: ownership.Action) -> None:
     if isinstance(action, ownership.Grant):
         _start_grant(context, state, action)
     elif isinstance(action, ownership.Release):
         context.call(
             lambda: context.platform.servers.release(action),
-            lambda result, sent: _released(context, state, action, *result),
-            context.release_calls)
+            lambda result, sent: _handle_release_result(
+                context, state, action, *result), context.release_calls)
     elif isinstance(action, ownership.Probe):
         context.call(
             lambda: context.platform.servers.probe(action),
@@ -113,36 +116,37 @@
     else:
         context.call(
             lambda: context.platform.store.save(action.assignment, action.
-                                                revision),
-            lambda result, sent: _saved(context, state, action, result))
+                                                revision), lambda result, sent:
+            _handle_save_result(context, state, action, result))
 
 
 def _start_grant(context: controlstate.Context, state: ownership.Coordination,
                  grant: ownership.Grant) -> None:
     owned = context.owned
-    unlinked = grant.link is None
-    if unlinked and owned.handover_reason:
-        # It could arrive after a successor has taken the role.
-        _granted(context, state, grant,
-                 ownership.GrantResult(ownership.CallOutcome.NOT_SENT),
-                 context.clock.now())
+    needs_connection = grant.link is None
+    if needs_connection and owned.handover_reason:
+        # The grant could arrive after a successor has taken the role.
+        _handle_grant_result(
+            context, state, grant,
+            ownership.GrantResult(ownership.CallOutcome.NOT_SENT),
+            context.clock.now())
         return
-    owned.new_connection_grants += unlinked
+    owned.new_connection_grants += needs_connection
 
-    def take(result: ownership.GrantResult, sent_at: float) -> None:
-        owned.new_connection_grants -= unlinked
-        _granted(context, state, grant, result, sent_at)
+    def handle_result(result: ownership.GrantResult, sent_at: float) -> None:
+        owned.new_connection_grants -= needs_connection
+        _handle_grant_result(context, state, grant, result, sent_at)
 
-    context.call(lambda: _send_grant(context, grant), take,
+    context.call(lambda: _send_grant(context, grant), handle_result,
                  context.server_calls)
 
 
-def _granted(context: controlstate.Context, state: ownership.Coordination,
-             grant: ownership.Grant, granted: ownership.GrantResult,
-             sent_at: float) -> None:
+def _handle_grant_result(context: controlstate.Context,
+                         state: ownership.Coordination, grant: ownership.Grant,
+                         result: ownership.GrantResult, sent_at: float) -> None:
     now = context.clock.now()
-    coordination.handle_grant_result(state, grant, granted, sent_at, now)
-    if granted.outcome is ownership.CallOutcome.UNKNOWN:
+    coordination.handle_grant_result(state, grant, result, sent_at, now)
+    if result.outcome is ownership.CallOutcome.UNKNOWN:
         in_force_ms = holds.compute_expiry(now, grant.hold_ms) - now
         context.logger.warning('grant_unanswered',
                                service=grant.service,
@@ -150,45 +154,48 @@
                                first=grant.key_range.first,
                                last=grant.key_range.last,
                                fence=grant.fence,
-                               link=granted.link,
+                               link=result.link,
                                took_ms=round(now - sent_at),
                                in_force_ms=round(in_force_ms))
     context.states.note('grant_answer',
                         grant.server.id,
-                        granted.outcome,
+                        result.outcome,
                         service=grant.service,
                         fence=grant.fence,
                         first=grant.key_range.first)
 
 
-def _released(context: controlstate.Context, state: ownership.Coordination,
-              release: ownership.Release, answer: ownership.CallOutcome,
-              token: str) -> None:
-    coordination.handle_release_result(state, release, answer, token,
-                                       context.clock.now())
+def _handle_release_result(context: controlstate.Context,
+                           state: ownership.Coordination,
+                           release: ownership.Release,
+                           call_outcome: ownership.CallOutcome,
+                           handover_token: str) -> None:
+    coordination.handle_release_result(state, release, call_outcome,
+                                       handover_token, context.clock.now())
     context.logger.info('keys_released',
                         server=release.server.id,
                         first=release.key_range.first,
                         last=release.key_range.last,
                         fence=release.key_range.fence,
-                        answer=answer.value,
-                        handed_over=bool(token))
+                        answer=call_outcome.value,
+                        handed_over=bool(handover_token))
 
 
 def _send_grant(context: controlstate.Context,
                 grant: ownership.Grant) -> ownership.GrantResult:
-    """Sends a grant unless it is out of date; run by a thread."""
-    now, kept_at = context.clock.now(), context.owned.lease_renewed_at
-    if (now - kept_at > ownership.MAX_OFFLINE_MS or
+    """Sends a grant unless it is stale; runs in a thread."""
+    now, renewed_at = context.clock.now(), context.owned.lease_renewed_at
+    if (now - renewed_at > ownership.MAX_OFFLINE_MS or
             now - grant.planned_at > ownership.MAX_GRANT_AGE_MS or
             grant.link is None and
-            not ownership.may_open_connection(kept_at, now)):
+            not ownership.may_open_connection(renewed_at, now)):
         return ownership.GrantResult(ownership.CallOutcome.NOT_SENT)
     return context.platform.servers.grant(grant)
 
 
-def _saved(context: controlstate.Context, state: ownership.Coordination,
-           save: ownership.Save, result) -> None:
+def _handle_save_result(context: controlstate.Context,
+                        state: ownership.Coordination, save: ownership.Save,
+                        result) -> None:
     if not isinstance(result, outcomes.Failed):
         coordination.handle_saved(state, save, result)
         context.logger.info('assignment_saved',
@@ -197,7 +204,8 @@
                             ranges=len(save.assignment.ranges))
         context.publish()
         return
-    # After a restore the store holds an older assignment than was replaced.
+    # After a restore, a conflict only means that the store holds an older
+    # assignment than this coordinator expected, not that it was superseded.
     restored = save.assignment.era < context.platform.store.find_era()
     if result.reason is outcomes.Reason.CONFLICT and not restored:
         state.superseded = True
