--- a/tests/test_edge_elections.py
+++ b/tests/test_edge_elections.py
@@ -1,4 +1,4 @@
-"""Who stands for coordinator, and when."""
+"""Tests of when an entry claims the coordinator's role, and of succession."""
 
 import unittest
 from unittest import mock
@@ -13,16 +13,17 @@
 _STEP_MS = 10.0
 
 
-class StandTest(unittest.TestCase):
-    """A service gets its first coordinator.
+class CandidacyTest(unittest.TestCase):
+    """Tests the delay before an entry claims the role of a new service.
 
-    All of 195 entries took a lease and wrote for the role at one moment, 360
-    calls to the store in vain: their pauses had passed before the servers had
-    had their time to register. One on a small machine won, and soon made way.
+    If the random delays start before the servers have had time to register,
+    they have passed by then, and all entries claim the role at the same time.
+    With 195 entries that made 360 useless calls to the store, and an entry on a
+    small machine won the election and soon handed over its role.
     """
 
-    def _find_begin(self, small: bool, seed: float) -> float:
-        """Returns when an entry stands, from the first server on, ms."""
+    def _measure_candidacy_delay(self, small: bool, seed: float) -> float:
+        """Returns the time from the first server to the entry's claim, ms."""
         time_ = clocks.ManualTime(50_000.0)
         owned = controlstate.ControlState('e1')
         server = tables.Server('i-1', 'x', 'a:1', 'd', 2, False, 0.0,
@@ -41,31 +42,31 @@
             elections.run_for_coordinator(context, 'x', role, time_.at)
         return time_.at - server.seen_at
 
-    def test_pauses_begin_when_the_service_may_have_one(self):
-        self.assertAlmostEqual(self._find_begin(False, 0.0),
+    def test_delay_starts_when_the_service_may_have_a_coordinator(self):
+        self.assertAlmostEqual(self._measure_candidacy_delay(False, 0.0),
                                elections.REGISTRATION_WAIT_MS,
                                delta=2 * _STEP_MS)
-        self.assertAlmostEqual(self._find_begin(False, 1.0),
+        self.assertAlmostEqual(self._measure_candidacy_delay(False, 1.0),
                                elections.REGISTRATION_WAIT_MS +
                                elections.MAX_CANDIDACY_DELAY_MS,
                                delta=2 * _STEP_MS)
 
-    def test_small_machines_leave_it_to_larger_ones(self):
-        self.assertAlmostEqual(self._find_begin(True, 0.0),
+    def test_small_machines_wait_for_larger_ones(self):
+        self.assertAlmostEqual(self._measure_candidacy_delay(True, 0.0),
                                elections.REGISTRATION_WAIT_MS +
                                elections.LARGER_ENTRY_PRIORITY_MS,
                                delta=2 * _STEP_MS)
 
 
 class ReplacedEntryTest(unittest.TestCase):
-    """Another process runs in the place of a predecessor.
+    """Tests whether another process has replaced a predecessor.
 
-    Its successor waits for a hold then, not for 12 s more: it has to be a later
-    process.
+    A replaced predecessor has ended, so its successor waits only for one hold,
+    not for 12 s more. Only a later process proves that.
     """
 
-    def test_an_earlier_process_of_its_place_proves_no_end(self):
-        # The entry of a process that was killed is listed for 9 s more.
+    def test_an_earlier_process_of_the_entry_does_not_replace_it(self):
+        # The registration of a killed process is listed for another 9 s.
         earlier, later = ports.Peer('e1.a', 'a:1'), ports.Peer('e1.b', 'a:1')
         owned = controlstate.ControlState('e2.c')
         owned.store_snapshot = ports.StoreSnapshot(None, {}, {}, {}, {
--- a/tests/test_edge_handover.py
+++ b/tests/test_edge_handover.py
@@ -1,6 +1,8 @@
-"""How a coordinator hands over its role: at its end, and to larger machines.
+"""Tests that a coordinator hands over its role without a gap in grants.
 
-The control actor runs by hand-moved time against a store that may be silent.
+It does so when its process stops and when an entry on a larger machine is
+registered. The control actor runs in simulated time against a store that may
+be unavailable.
 """
 
 import heapq
@@ -32,25 +34,37 @@
 
 
 class World:
-    """One entry, its store and three servers that answer each grant."""
+    """One entry, its store and three servers that answer each grant.
+
+    Attributes:
+      is_store_silent: Whether calls to the store time out.
+      withholds_snapshots: Whether the entry receives no changes of the store.
+      era: Number of restores of the store.
+      known_era: Era of the store's latest answer.
+      unanswered_at: Time of the first call since the store stopped answering,
+        ms; None if it answers.
+      granted_at: Times of the grants, ms, by server id.
+      new_connection_grants_at: Times of grants over new connections, ms.
+      ended_at: Times at which leases were ended, ms, by their numbers.
+    """
 
     def __init__(self, small: bool = False):
         self.time = clocks.ManualTime(50_000.0)
-        self.silent = False
-        self.deaf = False
+        self.is_store_silent = False
+        self.withholds_snapshots = False
         self.era = self.known_era = 0
         self.unanswered_at: float | None = None
-        self.grant_ms = _ANSWER_MS
+        self.grant_answer_ms = _ANSWER_MS
         self.leases: set[int] = set()
         self.coordinator: int | None = None
         self.peers: dict[str, ports.Peer] = {}
-        self.granted: dict[str, list[float]] = {}
-        self.unlinked_at: list[float] = []
+        self.granted_at: dict[str, list[float]] = {}
+        self.new_connection_grants_at: list[float] = []
         self.ended_at: dict[int, float] = {}
         self._delay_ms = 0.0
         self._numbers = itertools.count(1)
         self._events: list = []
-        self._seen: object = None
+        self._delivered: object = None
         self.owned = controlstate.ControlState('e1')
         clock, logger = self.time.clock(), logs.make_logger('e1', io.StringIO())
         settings = ports.Settings('e1', 'a', '', '', 'a:1', '', (),
@@ -69,22 +83,22 @@
 
     @property
     def role(self) -> controlstate.CoordinatorRole:
-        """The entry's part in the service."""
+        """The entry's role for the service."""
         return self.owned.roles[_SERVICE]
 
     def run(self, ms: float) -> None:
-        """Lets time pass."""
+        """Advances the time and processes what is due."""
         until = self.time.at + ms
         while self.time.at < until:
             self.time.advance(_STEP_MS)
             while self._events and self._events[0][0] <= self.time.at:
                 take = heapq.heappop(self._events)[2]
                 self.actor.on_receive(control.Returned(take))
-            self._tell()
+            self._deliver_snapshot()
             self.actor.on_receive(control.Tick(self.time.at))
 
-    def leave(self) -> threading.Event:
-        """Has the entry told that it is to end."""
+    def stop(self) -> threading.Event:
+        """Asks the entry to stop; returns the event of its handover."""
         done = threading.Event()
         self.actor.on_receive(control.Leave(done))
         return done
@@ -92,17 +106,22 @@
     def find_longest_gap(self, since: float) -> float:
         """Returns the longest time without a grant to a server, ms."""
         gaps = []
-        for times in self.granted.values():
-            kept = [since, *(at for at in times if at > since), self.time.at]
-            gaps += [after - at for at, after in itertools.pairwise(kept)]
+        for times in self.granted_at.values():
+            grant_times = [
+                since, *(at for at in times if at > since), self.time.at
+            ]
+            gaps += [
+                after - at for at, after in itertools.pairwise(grant_times)
+            ]
         return max(gaps)
 
-    def _tell(self) -> None:
-        """Has the entry see what the store holds, if it is not silent."""
+    def _deliver_snapshot(self) -> None:
+        """Sends the entry a snapshot if the store has changed and answers."""
         state = (self.coordinator, tuple(self.peers), self.era)
-        if self.silent or self.deaf or self._seen == state:
+        if (self.is_store_silent or self.withholds_snapshots or
+                self._delivered == state):
             return
-        self._seen = state
+        self._delivered = state
         servers = {
             f'i-{number}':
                 tables.Server(f'i-{number}', _SERVICE, f's{number}:1', 'a', 2,
@@ -127,18 +146,18 @@
                        (sent_at + self._delay_ms, next(
                            self._numbers), lambda: take(result, sent_at)))
 
-    def _answer(self, make):
-        """Returns the store's answer, or none in time."""
-        if self.silent:
+    def _answer_call(self, make_answer):
+        """Returns the store's answer, or a timeout if the store is silent."""
+        if self.is_store_silent:
             self._delay_ms += _TIMEOUT_MS
             if self.unanswered_at is None:
                 self.unanswered_at = self.time.at
             return outcomes.Failed(outcomes.Reason.TIMED_OUT)
         self._delay_ms += _ANSWER_MS
         self.unanswered_at, self.known_era = None, self.era
-        return make()
+        return make_answer()
 
-    def _find_silence(self) -> float:
+    def _find_unanswered_ms(self) -> float:
         return (0.0 if self.unanswered_at is None else self.time.at -
                 self.unanswered_at)
 
@@ -163,26 +182,27 @@
                 return outcomes.Failed(outcomes.Reason.NOT_FOUND)
             return None
 
-        def take_role(lease):
+        def claim(lease):
             self.coordinator = lease.id
 
         return mock.Mock(
-            open_lease=lambda ttl: self._answer(lambda: open_lease(ttl)),
-            end_lease=lambda lease: self._answer(lambda: end(lease)),
-            keep_lease=lambda lease: self._answer(lambda: keep(lease)),
+            open_lease=lambda ttl: self._answer_call(lambda: open_lease(ttl)),
+            end_lease=lambda lease: self._answer_call(lambda: end(lease)),
+            keep_lease=lambda lease: self._answer_call(lambda: keep(lease)),
             claim_coordination=lambda _, unused_peer, lease, unused_replaced:
-            self._answer(lambda: take_role(lease)),
-            register=lambda *unused_args: self._answer(lambda: None),
-            load_assignment=lambda unused: self._answer(lambda: None),
-            save=lambda *unused_args: self._answer(lambda: next(self._numbers)),
-            find_unanswered_ms=self._find_silence,
+            self._answer_call(lambda: claim(lease)),
+            register=lambda *unused_args: self._answer_call(lambda: None),
+            load_assignment=lambda unused: self._answer_call(lambda: None),
+            save=lambda *unused_args: self._answer_call(lambda: next(self.
+                                                                     _numbers)),
+            find_unanswered_ms=self._find_unanswered_ms,
             find_era=lambda: self.known_era)
 
     def _grant(self, grant: ownership.Grant) -> ownership.GrantResult:
-        self._delay_ms += self.grant_ms
+        self._delay_ms += self.grant_answer_ms
         if grant.link is None:
-            self.unlinked_at.append(self.time.at)
-        self.granted.setdefault(grant.server.id, []).append(self.time.at)
+            self.new_connection_grants_at.append(self.time.at)
+        self.granted_at.setdefault(grant.server.id, []).append(self.time.at)
         return ownership.GrantResult(ownership.CallOutcome.DONE, 1)
 
 
@@ -193,38 +213,42 @@
 
 
 class OutageTest(unittest.TestCase):
-    """A coordinator resigned into an outage, as it had just kept its lease."""
+    """Tests that a stopping coordinator renews grants during a store outage.
 
-    def test_keys_are_renewed_until_the_end_at_each_phase_of_the_renewal(self):
+    A coordinator that had just renewed its lease resigned although the store
+    was unavailable, so that no other entry could take over its role.
+    """
+
+    def test_grants_are_renewed_at_each_phase_of_the_lease_renewal(self):
         for phase_ms in range(0, 2_001, 100):
             with self.subTest(phase_ms=phase_ms):
                 world = _make_world()
                 world.run(phase_ms % elections.COORDINATOR_RENEW_INTERVAL_MS)
-                world.silent = True
-                began = world.time.at
+                world.is_store_silent = True
+                outage_at = world.time.at
                 world.run(phase_ms)
-                done = world.leave()
+                done = world.stop()
                 world.run(_GRACE_MS)
                 self.assertFalse(done.is_set())
-                self.assertLess(world.find_longest_gap(began),
+                self.assertLess(world.find_longest_gap(outage_at),
                                 ownership.HOLD_MS / 2)
 
-    def test_the_role_goes_as_soon_as_the_store_is_back(self):
+    def test_the_role_is_released_when_the_store_answers_again(self):
         world = _make_world()
-        world.silent = True
+        world.is_store_silent = True
         world.run(300.0)
-        done = world.leave()
+        done = world.stop()
         world.run(2_000.0)
-        world.silent = False
+        world.is_store_silent = False
         world.run(600.0)
         self.assertTrue(done.is_set())
         self.assertIsNone(world.role.coordination_state)
         world.run(1_000.0)
         self.assertEqual(world.leases, set())
 
-    def test_a_store_that_answers_is_left_at_once(self):
+    def test_leases_end_at_once_if_the_store_answers(self):
         world = _make_world()
-        done = world.leave()
+        done = world.stop()
         world.run(50.0)
         self.assertTrue(done.is_set())
         self.assertIsNone(world.role.coordination_state)
@@ -233,7 +257,7 @@
     def test_a_lease_that_was_being_opened_is_ended_too(self):
         world = World()
         world.run(20.0)
-        world.leave()
+        world.stop()
         world.run(1_500.0)
         self.assertEqual(world.leases, set())
 
@@ -241,69 +265,79 @@
         world = World()
         while not (world.owned.roles and world.role.is_call_pending):
             world.run(_STEP_MS)
-        world.leave()
+        world.stop()
         world.run(3_000.0)
         self.assertIsNone(world.role.coordination_state)
         self.assertEqual(world.leases, set())
-        self.assertEqual(world.granted, {})
+        self.assertEqual(world.granted_at, {})
 
-    def test_nothing_is_granted_over_a_new_connection_any_more(self):
-        # The process there may have been granted keys by a successor.
+    def test_no_grant_is_sent_over_a_new_connection(self):
+        # A successor may have granted keys to the process there.
         world = _make_world()
-        world.silent = True
+        world.is_store_silent = True
         began = world.time.at
-        world.leave()
+        world.stop()
         for renewal in world.role.coordination_state.renewals.values():
             renewal.link, renewal.due_at = None, world.time.at
         world.run(1_000.0)
-        self.assertEqual([at for at in world.unlinked_at if at > began], [])
+        self.assertEqual(
+            [at for at in world.new_connection_grants_at if at > began], [])
 
     def test_the_lease_outlasts_grants_over_new_connections(self):
         world = _make_world()
-        world.grant_ms = 300.0
+        world.grant_answer_ms = 300.0
         for renewal in world.role.coordination_state.renewals.values():
             renewal.link, renewal.due_at = None, world.time.at
         world.run(2 * _STEP_MS)
         lease, began = world.owned.coordinator_lease.id, world.time.at
-        world.leave()
+        world.stop()
         world.run(1_000.0)
         self.assertGreaterEqual(world.ended_at[lease] - began, 250.0)
 
 
 class RestoreTest(unittest.TestCase):
-    """An entry that left ended the lease of another after a restore."""
+    """Tests that a stopping entry doesn't end the lease of another entry.
+
+    After a restore of the store, the number of its lease may belong to another
+    entry.
+    """
 
     def test_a_lease_that_may_be_anothers_is_not_ended(self):
         world = _make_world()
-        world.silent = True
+        world.is_store_silent = True
         world.run(100.0)
-        done = world.leave()
+        done = world.stop()
         world.run(2_000.0)
-        # Another entry has taken the role, under the same number.
-        world.silent, world.deaf, world.era = False, True, 1
+        # Another entry has taken the role under the same lease number.
+        (world.is_store_silent, world.withholds_snapshots,
+         world.era) = False, True, 1
         world.run(600.0)
         self.assertEqual(world.ended_at, {})
         self.assertIsNotNone(world.role.coordination_state)
-        world.deaf, world.coordinator = False, None
+        world.withholds_snapshots, world.coordinator = False, None
         world.run(100.0)
         self.assertEqual(world.ended_at, {})
         self.assertIsNone(world.role.coordination_state)
         self.assertTrue(done.is_set())
 
 
-class MakeWayTest(unittest.TestCase):
-    """A small entry resigned for a larger one, though the store was away."""
+class LargerMachineTest(unittest.TestCase):
+    """Tests the handover from a small machine to a larger one in an outage.
+
+    An entry on a small machine resigned although the store was unavailable, so
+    that the entry on the larger machine could not take over.
+    """
 
-    def test_it_goes_on_until_the_store_has_ended_its_lease(self):
+    def test_it_coordinates_until_the_store_has_ended_its_lease(self):
         world = _make_world(small=True)
         self.assertIsNotNone(world.role.coordination_state)
         world.peers['e2'] = ports.Peer('e2', 'b:1')
         world.run(_STEP_MS)
-        world.silent = True
+        world.is_store_silent = True
         began = world.time.at
         world.run(5_000.0)
         self.assertLess(world.find_longest_gap(began), ownership.HOLD_MS / 2)
-        world.silent = False
+        world.is_store_silent = False
         world.run(600.0)
         self.assertIsNone(world.role.coordination_state)
 
