--- a/tests/restoreworlds.py
+++ b/tests/restoreworlds.py
@@ -1,7 +1,8 @@
-"""A world whose store may come back from an older copy at any moment.
+"""Simulation of a store that may be restored from an older copy at any time.
 
-Adds to `edgeworlds` a store with eras, and entries that hear what the living
-coordinator has saved. A coordinator notices a restore some time after it.
+Adds to `edgeworlds` a store with eras (each restore starts a new one) and
+entries that receive the assignments of the running coordinator. A coordinator
+notices a restore after a delay.
 """
 
 import dataclasses
@@ -12,69 +13,79 @@
 from lentilmoor.edge import revisions
 from tests import edgeworlds
 
-# Entries hear of a new assignment this often.
-_HEAR_MS = 250.0
-# A restore is noticed within this.
-_NOTICE_MS = 1_000.0
+# Interval at which entries receive the current assignment.
+_NEWS_INTERVAL_MS = 250.0
+# A coordinator notices a restore within this time.
+_MAX_NOTICE_DELAY_MS = 1_000.0
 
 
 @dataclasses.dataclass(frozen=True)
-class Copy:
-    """The store's state at a time."""
+class StoreCopy:
+    """Copy of the store's state.
+
+    Attributes:
+      saved: The saved assignment.
+      revision_number: Number of the store's latest revision in its era.
+      saved_number: Number of the revision that saved the assignment.
+    """
 
     saved: keyranges.Assignment
-    number: int
+    revision_number: int
     saved_number: int
 
 
 class World(edgeworlds.World):
-    """Servers, a store that may be restored, and coordinators in turn."""
+    """Servers, a store that may be restored, and successive coordinators."""
 
     def __init__(self, seed: int, servers: int = 5):
         super().__init__(seed, servers)
-        self.era, self.number_saved, self.saved_number = 0, 1, 1
-        self.copy = self._copy()
-        self.heard: keyranges.Assignment | None = self.saved
-        self.heard_at = 0.0
+        self.era, self.latest_number, self.saved_number = 0, 1, 1
+        self.copy = self._copy_store()
+        self.peer_assignment: keyranges.Assignment | None = self.saved
+        self.peer_assignment_at = 0.0
         self.instances = 1
         self.coordinators[0].state.assignment = dataclasses.replace(
             self.saved, author='e1.1')
 
     @property
     def leader(self) -> edgeworlds.CoordinatorModel:
-        """The coordinator that took the role last."""
+        """The coordinator that took the role most recently."""
         return self.coordinators[-1]
 
     def run(self, ms: float) -> None:
-        """Lets time pass; entries hear what the leader has saved."""
+        """Advances the time; entries receive the leader's assignment."""
         until = self.now + ms
         while self.now < until:
             super().run(edgeworlds.STEP_MS)
-            if self.leader.up and self.now - self.heard_at >= _HEAR_MS:
-                self.heard_at = self.now
-                self.heard = self.leader.state.assignment
+            if (self.leader.up and
+                    self.now - self.peer_assignment_at >= _NEWS_INTERVAL_MS):
+                self.peer_assignment_at = self.now
+                self.peer_assignment = self.leader.state.assignment
 
     def take_copy(self) -> None:
         """Copies the store."""
-        self.copy = self._copy()
+        self.copy = self._copy_store()
 
-    def _copy(self) -> Copy:
-        return Copy(self.saved, self.number_saved, self.saved_number)
+    def _copy_store(self) -> StoreCopy:
+        return StoreCopy(self.saved, self.latest_number, self.saved_number)
 
     def restore(self) -> None:
         """Restores the store from the copy."""
         self.era += 1
         self.saved = self.copy.saved
-        self.number_saved = self.copy.number
+        self.latest_number = self.copy.revision_number
         self.saved_number = self.copy.saved_number
-        for item in self.coordinators:
-            self._after(self.random.uniform(0, _NOTICE_MS),
-                        lambda item=item: self._notice(item))
-
-    def _notice(self, item: edgeworlds.CoordinatorModel) -> None:
-        if item.up and item.sees_store and item.state.era < self.era:
+        for coordinator in self.coordinators:
+            self._after(self.random.uniform(0, _MAX_NOTICE_DELAY_MS),
+                        lambda coordinator=coordinator: self._notice_restore(
+                            coordinator))
+
+    def _notice_restore(self, coordinator: edgeworlds.CoordinatorModel) -> None:
+        if (coordinator.up and coordinator.sees_store and
+                coordinator.state.era < self.era):
             coordination.handle_store_restored(
-                item.state, revisions.combine(self.era, self.number_saved),
+                coordinator.state,
+                revisions.combine(self.era, self.latest_number),
                 revisions.combine(self.era, self.saved_number))
 
     def end_leader(self) -> None:
@@ -82,20 +93,23 @@
         self.leader.up = False
 
     def replace_entries(self) -> None:
-        """Ends all entries; those that follow have heard nothing."""
+        """Ends all entries; their successors have received no assignment."""
         self.end_leader()
-        self.heard = None
+        self.peer_assignment = None
 
     def take_over(self) -> None:
-        """Another entry takes the role, by what the store and others tell."""
+        """Has another entry take the role.
+
+        It starts from the assignments of the store and of the other entries.
+        """
         self.instances += 1
         author = f'e{self.instances}.1'
         plan = coordination.plan_succession(edgeworlds.SERVICE,
-                                            [self.saved, self.heard],
+                                            [self.saved, self.peer_assignment],
                                             self.list_servers(), author,
                                             self.era)
-        self.number_saved += 1
-        self.saved_number, self.saved = self.number_saved, plan.assignment
+        self.latest_number += 1
+        self.saved_number, self.saved = self.latest_number, plan.assignment
         for item in self.coordinators:
             item.sees_store = False
         revision = revisions.combine(self.era, self.saved_number)
@@ -115,8 +129,8 @@
             done = (item.sees_store and known == self.era and
                     revisions.find_number(action.revision) == self.saved_number)
             if done:
-                self.number_saved += 1
-                self.saved_number = self.number_saved
+                self.latest_number += 1
+                self.saved_number = self.latest_number
                 self.saved = action.assignment
                 coordination.handle_saved(
                     item.state, action,
--- a/tests/test_edge_restore.py
+++ b/tests/test_edge_restore.py
@@ -1,7 +1,8 @@
-"""No key gets a second owner when the store comes back from an older copy.
+"""Tests that no key has two owners after a restore of the store.
 
-Random histories of moves, takeovers, replaced entries and restores; each
-safeguard is also left out, to show that the histories need it.
+The store may be restored from an older copy during random histories of moves,
+takeovers, replaced entries and restores. Each safeguard is also removed, to
+show that some history fails without it.
 """
 
 import dataclasses
@@ -17,12 +18,12 @@
 
 _SEEDS = 30
 _STEPS = 8
-# A lease of the one before has run out.
+# After this time the predecessor's lease has expired.
 _ELECTION_MS = ownership.COORDINATOR_LEASE_MS + 200.0
 
 
-def _drain(world: restoreworlds.World) -> None:
-    """Has one server leave, and another one come."""
+def _replace_server(world: restoreworlds.World) -> None:
+    """Drains one server and adds another one."""
     staying = [
         item for item in world.servers.values() if not item.entry.draining
     ]
@@ -38,7 +39,7 @@
 
 
 def _restore_without_leader(world: restoreworlds.World) -> None:
-    """The leader ends as the store is restored."""
+    """Ends the leader at the same time as the store is restored."""
     world.end_leader()
     world.restore()
     world.run(_ELECTION_MS)
@@ -46,20 +47,20 @@
 
 
 def _replace_entries(world: restoreworlds.World) -> None:
-    """No entry is left that knows what was lost."""
+    """Replaces all entries, so that none knows what the restore loses."""
     world.replace_entries()
     world.restore()
     world.run(_ELECTION_MS)
     world.take_over()
 
 
-_EVENTS = (_drain, _drain, _drain, _take_over, _restore_without_leader,
-           _replace_entries, restoreworlds.World.take_copy,
-           restoreworlds.World.restore)
+_EVENTS = (_replace_server, _replace_server, _replace_server, _take_over,
+           _restore_without_leader, _replace_entries,
+           restoreworlds.World.take_copy, restoreworlds.World.restore)
 
 
-def _play(seed: int) -> restoreworlds.World:
-    """Returns a world after a random history."""
+def _run_history(seed: int) -> restoreworlds.World:
+    """Returns the world after a random history."""
     world = restoreworlds.World(seed)
     world.loads = {
         key: world.random.uniform(0.5, 3.0)
@@ -74,7 +75,10 @@
 
 
 def _is_served(world: restoreworlds.World) -> bool:
-    """Returns whether all keys are held within a second; some may move."""
+    """Returns whether all keys have an owner at some time within a second.
+
+    Until then, keys may lack an owner while they are moving.
+    """
     until = world.now + 1_000
     while world.now < until:
         if all(
@@ -85,15 +89,15 @@
     return False
 
 
-def _count_breaches() -> int:
-    return sum(bool(_play(seed).breaches) for seed in range(_SEEDS))
+def _count_breached_histories() -> int:
+    return sum(bool(_run_history(seed).breaches) for seed in range(_SEEDS))
 
 
-def _begin_again(world: restoreworlds.World,
-                 item: edgeworlds.CoordinatorModel) -> None:
-    """Has the leader begin again from what the restored store holds."""
-    if item is world.leader and item.up:
-        item.up, world.heard = False, None
+def _restart_leader(world: restoreworlds.World,
+                    coordinator: edgeworlds.CoordinatorModel) -> None:
+    """Has the leader start again from the content of the restored store."""
+    if coordinator is world.leader and coordinator.up:
+        coordinator.up, world.peer_assignment = False, None
         with mock.patch.object(coordination, '_await_holds'):
             world.take_over()
 
@@ -102,11 +106,11 @@
 
     def test_no_key_has_two_owners_and_all_are_served(self):
         for seed in range(_SEEDS):
-            world = _play(seed)
+            world = _run_history(seed)
             self.assertEqual(world.breaches[:2], [], seed)
             self.assertTrue(_is_served(world), seed)
 
-    def test_successor_of_one_that_waits_waits_too(self):
+    def test_successor_of_a_waiting_coordinator_waits_too(self):
         world = restoreworlds.World(1)
         world.run(3_000)
         _restore_without_leader(world)
@@ -119,16 +123,17 @@
 
 
 class SafeguardTest(unittest.TestCase):
-    """Without a safeguard some history gives a key two owners."""
+    """Tests that without a safeguard some history gives a key two owners."""
 
-    def test_fences_of_an_era_lie_above_those_before(self):
+    def test_fences_of_an_era_exceed_those_of_earlier_eras(self):
         with mock.patch.object(keyranges, 'find_first_fence', return_value=1):
-            self.assertGreater(_count_breaches(), 0)
+            self.assertGreater(_count_breached_histories(), 0)
 
     def test_successor_waits_for_moves_that_it_may_lack(self):
         with mock.patch.object(coordination, '_await_holds'):
-            self.assertGreater(_count_breaches(), 0)
+            self.assertGreater(_count_breached_histories(), 0)
 
-    def test_leader_goes_on_with_what_it_knows(self):
-        with mock.patch.object(restoreworlds.World, '_notice', _begin_again):
-            self.assertGreater(_count_breaches(), 0)
+    def test_leader_continues_with_its_own_state(self):
+        with mock.patch.object(restoreworlds.World, '_notice_restore',
+                               _restart_leader):
+            self.assertGreater(_count_breached_histories(), 0)
