--- a/tests/test_platform_ownership.py
+++ b/tests/test_platform_ownership.py
@@ -1,4 +1,4 @@
-"""Tests that no two processes hold a key, over stand-ins of the platform."""
+"""Tests that no two processes hold a key, against stand-ins of the platform."""
 
 import time
 import unittest
@@ -32,7 +32,7 @@
 
 
 class SilentPathTest(_DeploymentTest):
-    """The path to a server goes silent both ways, and comes back later."""
+    """Tests grants over a path that is cut in both directions for some time."""
 
     def test_a_grant_that_was_given_up_is_not_applied_later(self):
         path = self.deployment.paths[0]
@@ -45,11 +45,15 @@
 
 
 class ReplacedProcessTest(_DeploymentTest):
-    """Another process starts at a server's address before the store tells."""
+    """Tests grants to a process whose start the store hasn't reported yet.
 
-    def test_it_is_granted_no_key_under_a_fence_of_the_one_before(self):
-        # A server that had crashed 1.3 s before was granted its keys again;
-        # the process at its address took them, under the fences it had had.
+    It has replaced another process at the address of a server.
+    """
+
+    def test_it_is_granted_no_key_under_a_fence_of_its_predecessor(self):
+        # A server that had crashed 1.3 s earlier was granted its keys again
+        # under the same fences, and the new process at its address accepted
+        # them.
         server = self.server
         highest = max(fields['fence'] for fields in server.grants)
         known = len(server.grants)
@@ -59,60 +63,60 @@
         for fields in server.grants[known:]:
             self.assertGreater(fields['fence'], highest)
 
-    def test_nor_if_its_address_answered_nobody_in_between(self):
+    def test_fences_also_rise_if_the_address_was_unavailable_meanwhile(self):
         server = self.server
         highest = max(fields['fence'] for fields in server.grants)
         server.close()
         time.sleep(1.0)
-        following = platform_server.PlatformServer(self.deployment.store,
+        successor = platform_server.PlatformServer(self.deployment.store,
                                                    'catalog',
                                                    True,
                                                    server.port,
                                                    registers=False)
-        self.addCleanup(following.close)
-        platformhelp.wait_until(lambda: following.grants, 2.0,
+        self.addCleanup(successor.close)
+        platformhelp.wait_until(lambda: successor.grants, 2.0,
                                 self.entry.read_log)
         time.sleep(0.5)
-        for fields in following.grants:
+        for fields in successor.grants:
             self.assertGreater(fields['fence'], highest)
 
 
-class StaleEntryTest(_DeploymentTest):
-    """An entry is written late, when its process has long been replaced."""
+class StaleRegistrationTest(_DeploymentTest):
+    """Tests a registration that is written after its process was replaced."""
 
     servers_tell_start = False
 
     def _replace(self) -> platform_server.PlatformServer:
-        """Ends the first server's process; another starts at its address."""
+        """Ends the first server's process and starts another at its address."""
         self.server.close()
-        following = platform_server.PlatformServer(self.deployment.store,
+        successor = platform_server.PlatformServer(self.deployment.store,
                                                    'catalog',
                                                    True,
                                                    self.server.port,
                                                    registers=False,
                                                    tells_start=False)
-        self.addCleanup(following.close)
-        following.address = self.server.address
-        following.register()
-        self.deployment.catalogs[0] = following
+        self.addCleanup(successor.close)
+        successor.address = self.server.address
+        successor.register()
+        self.deployment.catalogs[0] = successor
         platformhelp.wait_until(
             lambda: all(
                 any(server.holds(key)
                     for server in self.deployment.catalogs)
                 for key in _PROBED_KEYS), 5.0, self.entry.read_log)
-        return following
+        return successor
 
-    def test_it_takes_no_keys_from_the_process_that_is_up(self):
-        following = self._replace()
+    def test_it_takes_no_keys_from_the_running_process(self):
+        successor = self._replace()
         self.deployment.store.delete(f'servers/{self.server.id}')
         platformhelp.wait_until(
             lambda: '"servers_gone"' in self.entry.read_log(), 8.0,
             self.entry.read_log)
-        held = [key for key in _PROBED_KEYS if following.holds(key)]
+        held = [key for key in _PROBED_KEYS if successor.holds(key)]
         self.assertTrue(held)
         self.server.register()
         self._watch_owners(3.0)
-        self.assertTrue(any(following.holds(key) for key in held))
+        self.assertTrue(any(successor.holds(key) for key in held))
 
 
 if __name__ == '__main__':
