--- a/tests/orders.py
+++ b/tests/orders.py
@@ -1,11 +1,12 @@
-"""Explores all orders of messages and faults, up to a number of faults.
-
-A state is a `orderworlds.World`. From each, the explorer has every message that
-is due meet every fate, and every fault come, and goes on from each outcome. A
-fate other than an answer at once, and a fault, count as one fault each; the
-calm course costs nothing and goes on without end. States with the same future
-are visited once, by the fewest faults that lead there, so that all courses with
-so many faults are covered, however long they are.
+"""Model checker: explores all orders of messages and faults.
+
+A state is an `orderworlds.World`. From each state, the explorer applies every
+fate to every message that is due, and every fault, and continues from each
+outcome. A fate other than an immediate answer counts as one fault, and so does
+a fault. Calm steps, without a fault, cost nothing and are always continued.
+States with the same future are visited once, with the fewest faults that lead
+to them. All courses with up to the given number of faults are therefore
+covered, whatever their length.
 """
 
 import collections
@@ -18,60 +19,68 @@
 from lentilmoor.edge import ownership
 from tests import orderworlds
 
-# Time jumps no further once no fault may come any more, ms.
-LEAP_MS = 1_000.0
-# Lines of a trace, at most.
-MOST_LINES = 60
+# Longest step of time when no fault is left.
+MAX_CALM_STEP_MS = 1_000.0
+MAX_TRACE_LINES = 60
 
-USUAL = orderworlds.Rules()
+DEFAULT_RULES = orderworlds.Rules()
 
 Fault = tuple[str, Callable[[orderworlds.World], None]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Scope:
-    """What is explored.
+    """Scope of an exploration.
 
     Attributes:
-      faults: Faults in one course, at most.
-      rules: What the world allows.
-      fates: Fates besides an answer at once; None for all.
-      kinds: Kinds of faults: cut, apart, freeze, restart, later, crash, drain,
-        lapse, takeover, succession; None for all.
-      addresses: Addresses where faults come.
-      lives: Processes at one address, at most, one after another.
-      states: States after which it is given up.
-      hunts: Whether it ends with the first breach.
+      max_faults: Maximum number of faults in one course.
+      rules: What the simulation allows.
+      fates: Fates besides an immediate answer; None for all.
+      fault_kinds: Kinds of faults; None for all:
+        cut: The path to a server is cut for some time.
+        apart: The newest coordinator can't reach an address.
+        freeze: A server answers nothing for some time.
+        restart: A process crashes, another starts at once at its address.
+        later: A process crashes, another starts later at its address.
+        crash: A process crashes for good.
+        drain: A server reports that it is about to leave.
+        lapse: The registration of a process expires for some time.
+        takeover: Another coordinator starts, the first one continues.
+        succession: Another coordinator starts, the first one has ended.
+      addresses: Addresses at which faults occur.
+      max_lives: Maximum number of successive processes at one address.
+      max_states: Number of states after which the exploration is aborted.
+      stops_at_breach: Whether the exploration ends at the first breach.
     """
 
-    faults: int
-    rules: orderworlds.Rules = USUAL
+    max_faults: int
+    rules: orderworlds.Rules = DEFAULT_RULES
     fates: frozenset[orderworlds.Fate] | None = None
-    kinds: frozenset[str] | None = None
+    fault_kinds: frozenset[str] | None = None
     addresses: tuple[str, ...] = orderworlds.ADDRESSES
-    lives: int = 3
-    states: int = 10_000_000
-    hunts: bool = False
+    max_lives: int = 3
+    max_states: int = 10_000_000
+    stops_at_breach: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Report:
-    """What was found.
+    """Results of an exploration.
 
     Attributes:
-      states: How many were visited.
-      steps: How many steps were taken between them.
-      complete: Whether all in scope were visited.
-      traces: The course that leads to a breach, a line for each step, for the
-        first of each kind.
-      unserved_ms: Longest time after which the key is served for good if
-        nothing else fails; infinite if it never is.
-      unserved_trace: The course that leads there.
+      state_count: Number of states visited.
+      step_count: Number of steps between them.
+      is_complete: Whether all states in scope were visited.
+      traces: Course that leads to the first breach of each kind, one line per
+        step.
+      unserved_ms: Longest time until the key is served permanently if no more
+        faults occur; infinite if it never is.
+      unserved_trace: Course that leads to that time.
     """
 
-    states: int = 0
-    steps: int = 0
-    complete: bool = True
+    state_count: int = 0
+    step_count: int = 0
+    is_complete: bool = True
     traces: dict[orderworlds.Breach,
                  list[str]] = dataclasses.field(default_factory=dict)
     unserved_ms: float = 0.0
@@ -80,23 +89,25 @@
 
 @dataclasses.dataclass(slots=True)
 class _Node:
-    """A state that was visited.
+    """A visited state.
 
     Attributes:
-      parent: The state before; -1 if it is the first.
-      step: What led here; empty if time passed only.
-      now: ms.
-      served: Whether the key is served.
-      quiet: Whether no fault lasts.
-      calm: The state that follows if nothing fails; -1 if not known.
+      parent: Index of the preceding state; -1 for the first.
+      step: Description of the step that led here; empty if only time passed.
+      now: Time of the state, ms.
+      is_served: Whether the key is served.
+      is_quiet: Whether no fault is in effect.
+      calm_successor: Index of the state that follows without a fault; -1 if
+        unknown.
+      calm_ms: Time from this state to its calm successor, ms.
     """
 
     parent: int
     step: str
     now: float
-    served: bool
-    quiet: bool
-    calm: int = -1
+    is_served: bool
+    is_quiet: bool
+    calm_successor: int = -1
     calm_ms: float = 0.0
 
 
@@ -105,21 +116,22 @@
     """A step from one state to another.
 
     Attributes:
-      cost: Faults that it takes.
-      text: What happens.
-      world: The state that it leads to.
-      calm: Whether it is what happens if nothing fails.
+      cost: Number of faults in the step.
+      text: Description for traces.
+      world: State to which it leads.
+      is_calm: Whether it happens if nothing fails.
     """
 
     cost: int
     text: str
     world: orderworlds.World
-    calm: bool = False
+    is_calm: bool = False
 
 
 def explore(scope: Scope) -> Report:
     """Visits all states in scope, those with the fewest faults first."""
-    # Nothing refers to itself here, and there are many objects to look at.
+    # The states contain no reference cycles, and scanning so many objects would
+    # only cost time.
     enabled = gc.isenabled()
     gc.disable()
     try:
@@ -133,7 +145,7 @@
     report = Report()
     nodes: list[_Node] = []
     known: dict[tuple, int] = {}
-    rows = [collections.deque() for _ in range(scope.faults + 1)]
+    queues = [collections.deque() for _ in range(scope.max_faults + 1)]
 
     def visit(parent: int, step: _Step, cost: int) -> int:
         key = step.world.make_key()
@@ -143,35 +155,36 @@
             nodes.append(
                 _Node(parent, step.text, step.world.now,
                       bool(step.world.holders()), step.world.is_quiet()))
-            rows[cost].append((index, step.world))
+            queues[cost].append((index, step.world))
         return index
 
     visit(-1, _Step(0, '', orderworlds.World(scope.rules)), 0)
-    for cost, row in enumerate(rows):
-        while row:
-            index, world = row.popleft()
-            began = world.now
-            for step in _list_steps(scope, world, scope.faults - cost):
-                report.steps += 1
-                report.states = len(nodes)
-                following = visit(index, step, cost + step.cost)
-                if step.calm:
-                    nodes[index].calm = following
-                    nodes[index].calm_ms = step.world.now - began
+    for cost, queue in enumerate(queues):
+        while queue:
+            index, world = queue.popleft()
+            started_at = world.now
+            for step in _list_steps(scope, world, scope.max_faults - cost):
+                report.step_count += 1
+                report.state_count = len(nodes)
+                successor = visit(index, step, cost + step.cost)
+                if step.is_calm:
+                    nodes[index].calm_successor = successor
+                    nodes[index].calm_ms = step.world.now - started_at
                 for breach, text in step.world.breaches.items():
                     if breach not in report.traces:
                         report.traces[breach] = [
-                            *_trace(nodes, index),
+                            *_list_trace(nodes, index),
                             f'{step.world.now:.0f} ms: {step.text}', text
                         ]
-            if report.traces and scope.hunts or len(nodes) >= scope.states:
-                report.complete = False
+            if report.traces and scope.stops_at_breach or len(
+                    nodes) >= scope.max_states:
+                report.is_complete = False
                 return report
     _measure_unserved(nodes, report)
     return report
 
 
-def _trace(nodes: list[_Node], index: int) -> list[str]:
+def _list_trace(nodes: list[_Node], index: int) -> list[str]:
     lines = []
     while index >= 0:
         node = nodes[index]
@@ -181,60 +194,63 @@
     return lines[::-1]
 
 
-def _trace_calm(nodes: list[_Node], index: int,
-                times: dict[int, float]) -> list[str]:
-    """Returns the calm course until the key is served for good."""
+def _list_calm_trace(nodes: list[_Node], index: int,
+                     times: dict[int, float]) -> list[str]:
+    """Returns the calm course until the key is served permanently."""
     lines, now = [], nodes[index].now
-    while times[index] and len(lines) < MOST_LINES:
+    while times[index] and len(lines) < MAX_TRACE_LINES:
         node = nodes[index]
         now += node.calm_ms
-        index = node.calm
+        index = node.calm_successor
         step = nodes[index].step or 'time passes'
-        served = 'served' if nodes[index].served else 'not served'
+        served = 'served' if nodes[index].is_served else 'not served'
         lines.append(f'{now:.0f} ms: {step} ({served})')
     return lines
 
 
 def _list_steps(scope: Scope, world: orderworlds.World,
-                left: int) -> Iterator[_Step]:
-    """Yields all steps from a state, which it uses up, with faults left."""
-    if left > 0:
-        for text, act in list_faults(scope, world):
+                faults_left: int) -> Iterator[_Step]:
+    """Yields all steps from a state; modifies `world`."""
+    if faults_left > 0:
+        for text, apply in list_faults(scope, world):
             new = world.copy()
-            act(new)
+            apply(new)
             yield _Step(1, text, new)
     served = bool(world.holders())
     while True:
         if world.coordinators[-1].state.superseded:
             world.take_over(False, True)
-            yield _Step(0, 'another coordinator begins', world, True)
+            yield _Step(0, 'another coordinator starts', world, True)
             return
         decided = world.decide()
         if decided:
             break
-        world.now = world.find_next(orderworlds.JUMP_MS if left else LEAP_MS)
+        world.now = world.find_next(
+            orderworlds.JUMP_MS if faults_left else MAX_CALM_STEP_MS)
         happened = world.do_due()
-        if left or happened or served != bool(world.holders()):
+        if faults_left or happened or served != bool(world.holders()):
             yield _Step(0, happened, world, True)
             return
     if decided[0][0] != decided[-1][0]:
-        yield from _list_sent(scope, world.copy(), decided[::-1], left, False)
-    yield from _list_sent(scope, world, decided, left, True)
+        yield from _list_send_steps(scope, world.copy(), decided[::-1],
+                                    faults_left, False)
+    yield from _list_send_steps(scope, world, decided, faults_left, True)
 
 
-def _list_sent(scope: Scope, world: orderworlds.World, decided: list[tuple],
-               left: int, calm: bool) -> Iterator[_Step]:
-    """Yields the steps in which messages meet each fate."""
+def _list_send_steps(scope: Scope, world: orderworlds.World,
+                     decided: list[tuple], faults_left: int,
+                     calm: bool) -> Iterator[_Step]:
+    """Yields a step for each combination of the messages' fates."""
     choices = [[(fate, cost)
                 for fate, cost in orderworlds.read_fates(world, *item).items()
-                if cost <= left and
+                if cost <= faults_left and
                 (not cost or scope.fates is None or fate in scope.fates)]
                for item in decided]
     for fates in reversed(list(itertools.product(*choices))):
         cost = sum(item[1] for item in fates)
-        if cost > left:
+        if cost > faults_left:
             continue
-        # The last one, an answer at once to all, uses up the state.
+        # The last combination, immediate answers to all, may modify the state.
         new = world.copy() if cost else world
         texts = []
         for (index, action), (fate, _) in zip(decided, fates, strict=True):
@@ -245,41 +261,41 @@
 
 def _describe(world: orderworlds.World, index: int, action: ownership.Action,
               fate: orderworlds.Fate) -> str:
-    who = ('first', 'second', 'third', 'next')[min(index, 3)]
+    sender = ('first', 'second', 'third', 'next')[min(index, 3)]
     if isinstance(action, ownership.Grant):
-        what = (f'grant to {action.server.id} with fence {action.fence} for '
-                f'{action.hold_ms:.0f} ms')
+        message = (f'grant to {action.server.id} with fence {action.fence} for '
+                   f'{action.hold_ms:.0f} ms')
     elif isinstance(action, ownership.Save):
         item, = action.assignment.ranges
-        what = f'save: {item.server} with fence {item.fence}'
+        message = f'save: {item.server} with fence {item.fence}'
     else:
-        what = f'{type(action).__name__.lower()} at {action.server.id}'
+        message = f'{type(action).__name__.lower()} at {action.server.id}'
     outcome = fate.value
     if (fate is orderworlds.Fate.ANSWERED and
             not world.is_answered(index, action)):
         outcome = 'not answered'
-    return f'{who} coordinator: {what}: {outcome}'
+    return f'{sender} coordinator: {message}: {outcome}'
 
 
 def list_faults(scope: Scope, world: orderworlds.World) -> list[Fault]:
-    """Returns the faults in scope that may come now."""
+    """Returns the faults in scope that are possible in this state."""
     faults: list[tuple[str, str, Callable]] = []
     for address in scope.addresses:
         faults += _list_path_faults(world, address)
         faults += _list_process_faults(scope, world, address)
     if len(world.coordinators) == 1:
         faults += [
-            ('takeover', 'another coordinator begins, the first goes on',
+            ('takeover', 'another coordinator starts, the first continues',
              lambda new: new.take_over(True, True)),
-            ('succession', 'another coordinator begins, the first ended',
+            ('succession', 'another coordinator starts, the first has ended',
              lambda new: new.take_over(False, True)),
-            ('succession', 'another coordinator begins, the first ended, '
-             'nothing is known of before',
+            ('succession', 'another coordinator starts, the first has ended, '
+             'earlier servers are unknown',
              lambda new: new.take_over(False, False))
         ]
-    return [(text, act)
-            for kind, text, act in faults
-            if scope.kinds is None or kind in scope.kinds]
+    return [(text, apply)
+            for kind, text, apply in faults
+            if scope.fault_kinds is None or kind in scope.fault_kinds]
 
 
 def _list_path_faults(world: orderworlds.World, address: str) -> list[tuple]:
@@ -309,7 +325,7 @@
         return []
     faults = []
     name = process.entry.id
-    if _count_lives(world, address) < scope.lives:
+    if _count_processes(world, address) < scope.max_lives:
         for ms in world.rules.listed_ms:
             faults.append(('restart',
                            f'{name} crashes, another starts at its address and '
@@ -325,12 +341,13 @@
     if name in world.listed and not process.entry.draining:
         faults.append(
             ('drain', f'{name} is about to leave', lambda new: new.drain(name)))
-        faults.append(('lapse', f'the entry of {name} runs out for a while',
-                       lambda new: new.lapse(name)))
+        faults.append(
+            ('lapse', f'the registration of {name} expires for a while',
+             lambda new: new.lapse(name)))
     return faults
 
 
-def _count_lives(world: orderworlds.World, address: str) -> int:
+def _count_processes(world: orderworlds.World, address: str) -> int:
     return sum(
         item.entry.address == address for item in world.processes.values())
 
@@ -343,7 +360,7 @@
 
 
 def _measure_unserved(nodes: list[_Node], report: Report) -> None:
-    """Finds the state whose calm course serves the key for good the latest."""
+    """Finds the state from which serving the key permanently takes longest."""
     times: dict[int, float] = {}
     for start, first in enumerate(nodes):
         path, seen = [], set()
@@ -351,21 +368,21 @@
         while index not in times and index not in seen and index >= 0:
             seen.add(index)
             path.append(index)
-            index = nodes[index].calm
+            index = nodes[index].calm_successor
         if index >= 0 and index not in times:
             cycle = path[path.index(index):]
-            served = all(nodes[item].served for item in cycle)
+            served = all(nodes[item].is_served for item in cycle)
             times.update(dict.fromkeys(cycle, 0.0 if served else float('inf')))
         for item in reversed(path):
             if item in times:
                 continue
             node = nodes[item]
-            rest = times.get(node.calm, 0.0)
-            times[
-                item] = rest + node.calm_ms if rest or not node.served else 0.0
-        if first.quiet and times[start] > report.unserved_ms:
+            rest = times.get(node.calm_successor, 0.0)
+            times[item] = (rest +
+                           node.calm_ms if rest or not node.is_served else 0.0)
+        if first.is_quiet and times[start] > report.unserved_ms:
             report.unserved_ms = times[start]
-            report.unserved_trace = _trace(nodes, start) + [
+            report.unserved_trace = _list_trace(nodes, start) + [
                 f'{first.now:.0f} ms: calm from here on',
-                *_trace_calm(nodes, start, times)
+                *_list_calm_trace(nodes, start, times)
             ]
