--- a/benchmarks/edge_hub.py
+++ b/benchmarks/edge_hub.py
@@ -170,8 +170,8 @@
         while pool.under_way and pool.under_way[0][0] <= self._time.at:
             _, _, sent_at, result, take = heapq.heappop(pool.under_way)
             self._actor.on_receive(
-                control.Returned(lambda take=take, result=result, sent_at=
-                                 sent_at: take(result, sent_at)))
+                control.CallCompleted(lambda take=take, result=result, sent_at=
+                                      sent_at: take(result, sent_at)))
 
     @property
     def now(self) -> float:
@@ -231,13 +231,13 @@
             self._end_calls(pool)
             self._begin_calls(pool)
         if now >= self._tick_at:
-            self._tick_at = now + control.TICK_MS
+            self._tick_at = now + control.TICK_INTERVAL_MS
             self._actor.on_receive(control.Tick(now))
         if now >= self._look_at:
             self._look_at = now + LOOK_MS
             self._everything = dataclasses.replace(
                 self._everything, revision=self._everything.revision + 1)
-            self._actor.on_receive(control.StoreSeen(self._everything))
+            self._actor.on_receive(control.StoreUpdate(self._everything))
         for report in data:
             reports.encode_report_reply(
                 reporting.handle_report(self._reporter,
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -36,12 +36,12 @@
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
 
-TICK_MS = 100.0
+TICK_INTERVAL_MS = 100.0
 # What is due is worked out no closer than this, or than the second figure for
 # each server, whichever is more: working it out after each message leaves a hub
 # of many entries no time to tell them what has changed.
-STEP_MS = 5.0
-STEP_PER_SERVER_MS = 0.12
+MIN_STEP_INTERVAL_MS = 5.0
+STEP_INTERVAL_PER_SERVER_MS = 0.12
 STORE_THREADS = 4
 # Grants and probes. Silent servers hold some until their calls time out, and
 # must not keep the others' grants from being renewed. Threads start when they
@@ -50,25 +50,25 @@
 # A release is answered when the work under way has ended.
 RELEASE_THREADS = 16
 # Servers that one line names.
-MOST_NAMED = 20
+MAX_LOGGED_SERVERS = 20
 # A tick that waited for longer is told, at most once in the second figure.
-LATE_MS = 250.0
-LATE_AGAIN_MS = 1_000.0
+MIN_LOGGED_DELAY_MS = 250.0
+DELAY_LOG_INTERVAL_MS = 1_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreSeen:
+class StoreUpdate:
     """What the store holds now.
 
     Attributes:
-      everything: What it holds.
-      heard: Whether another entry told it.
-      number: Of the change (see `staleness.add_pending_change`).
+      snapshot: What it holds.
+      from_peer: Whether another entry told it.
+      change_number: Of the change (see `staleness.add_pending_change`).
     """
 
-    everything: ports.StoreSnapshot
-    heard: bool = False
-    number: int = 0
+    snapshot: ports.StoreSnapshot
+    from_peer: bool = False
+    change_number: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -90,21 +90,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Returned:
-    """A call has ended; `take` takes in its result.
+class CallCompleted:
+    """A call has ended; `handle_result` takes in its result.
 
     Attributes:
-      take: Run by the actor.
+      handle_result: Run by the actor.
     """
 
-    take: Callable[[], None]
+    handle_result: Callable[[], None]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reported:
+class RequestsReported:
     """Requests for keys that an entry reports, by service."""
 
-    rows: dict[str, list[reports.RequestSample]]
+    samples: dict[str, list[reports.RequestSample]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -115,19 +115,19 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AssignmentHeard:
+class AssignmentReceived:
     """Another entry told of an assignment."""
 
     assignment: keyranges.Assignment
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Probe:
+class RenewEntryLease:
     """The entry's lease is to be renewed now, to learn if the store answers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leave:
+class PrepareShutdown:
     """This entry is about to end.
 
     Attributes:
@@ -147,9 +147,9 @@
                  forwarder: requests.Forwarder,
                  platform: ports.Platform,
                  logger,
-                 watch_again: Callable[[], None],
+                 restart_following: Callable[[], None],
                  call: Callable[..., None] | None = None,
-                 wake: Callable[[], None] = lambda: None):
+                 request_tick: Callable[[], None] = lambda: None):
         """Makes the actor.
 
         Args:
@@ -157,13 +157,13 @@
           forwarder: What request threads share.
           platform: The adapter.
           logger: Takes lines.
-          watch_again: Starts to follow the store anew.
+          restart_following: Starts to follow the store anew.
           call: Has a thread make a call (see `controlstate.Context`); threads
             of its own if None.
-          wake: Asks for a tick soon, as something may be due.
+          request_tick: Asks for a tick soon, as something may be due.
         """
         super().__init__()
-        self._wake = wake
+        self._wake = request_tick
         self._stepped_at = float('-inf')
         # What the store lists, with servers that are left out for now.
         self._listed: ports.StoreSnapshot | None = None
@@ -183,35 +183,36 @@
             forwarder.clock,
             call or self._call,
             self._publish,
-            watch_again,
+            restart_following,
             server_calls=futures.ThreadPoolExecutor(SERVER_THREADS, 'servers'),
             release_calls=futures.ThreadPoolExecutor(RELEASE_THREADS,
                                                      'releases'))
 
     def on_receive(self, message) -> None:
         """Takes one message."""
-        if isinstance(message, Returned):
-            message.take()
-        elif isinstance(message, StoreSeen):
-            self._take_store(message.everything, message.heard)
-            staleness.mark_applied(self._forwarder.freshness, message.number)
+        if isinstance(message, CallCompleted):
+            message.handle_result()
+        elif isinstance(message, StoreUpdate):
+            self._apply_snapshot(message.snapshot, message.from_peer)
+            staleness.mark_applied(self._forwarder.freshness,
+                                   message.change_number)
         elif isinstance(message, StoreLost):
-            self._take_loss(message.reason)
-        elif isinstance(message, Reported):
-            self._take_rows(message.rows)
+            self._handle_store_loss(message.reason)
+        elif isinstance(message, RequestsReported):
+            self._add_samples(message.samples)
         elif isinstance(message, DrainingReported):
-            self._note_draining(message.servers)
-        elif isinstance(message, AssignmentHeard):
+            self._record_draining(message.servers)
+        elif isinstance(message, AssignmentReceived):
             self._owned.peer_assignments[
                 message.assignment.service] = message.assignment
             self._publish()
-        elif isinstance(message, Probe):
+        elif isinstance(message, RenewEntryLease):
             self._owned.entry_lease_due_at = 0.0
-        elif isinstance(message, Leave):
+        elif isinstance(message, PrepareShutdown):
             leases.leave(self._context, message.done)
         elif isinstance(message, Tick):
-            self._note_late(message)
-        self._work()
+            self._log_delay(message)
+        self._step_if_due()
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
         """Logs a broken invariant; the process ends by itself."""
@@ -219,12 +220,13 @@
                            exc_info=(exception_type, exception_value,
                                      traceback))
 
-    def _note_late(self, tick: Tick) -> None:
+    def _log_delay(self, tick: Tick) -> None:
         """Tells if messages wait: all that this entry decides is late then."""
         pace, now = self._owned.timing, self._clock.now()
         pace.tick_delay_ms = now - (now
                                     if tick.sent_at is None else tick.sent_at)
-        if pace.tick_delay_ms < LATE_MS or now - pace.logged_at < LATE_AGAIN_MS:
+        if (pace.tick_delay_ms < MIN_LOGGED_DELAY_MS or
+                now - pace.logged_at < DELAY_LOG_INTERVAL_MS):
             return
         pace.logged_at = now
         self._logger.warning('control_late',
@@ -233,22 +235,22 @@
                              steps=pace.steps,
                              step_ms=round(pace.step_ms))
 
-    def _work(self) -> None:
+    def _step_if_due(self) -> None:
         now = self._clock.now()
         if self._owned.store_snapshot is None:
             return
         pace = self._owned.timing
-        pace.pause_ms = find_pause(len(self._owned.servers))
+        pace.pause_ms = find_step_interval(len(self._owned.servers))
         if now - self._stepped_at < pace.pause_ms:
             self._wake()
             return
         self._stepped_at = now
-        self._work_at(now)
+        self._step(now)
         pace.steps += 1
         pace.step_ms += self._clock.now() - now
 
-    def _work_at(self, now: float) -> None:
-        self._take_proven(now)
+    def _step(self, now: float) -> None:
+        self._include_confirmed(now)
         self._expire_servers(now)
         leases.keep(self._context, now)
         for name, role in self._owned.roles.items():
@@ -268,11 +270,12 @@
             sent_at = self._clock.now()
             result = work()
             if actor.is_alive():
-                actor.tell(Returned(lambda: take(result, sent_at)))
+                actor.tell(CallCompleted(lambda: take(result, sent_at)))
 
         (pool or self._store_calls).submit(run)
 
-    def _take_store(self, everything: ports.StoreSnapshot, heard: bool) -> None:
+    def _apply_snapshot(self, everything: ports.StoreSnapshot,
+                        heard: bool) -> None:
         owned, now = self._owned, self._clock.now()
         if (owned.store_snapshot and
                 everything.revision < owned.store_snapshot.revision):
@@ -284,15 +287,15 @@
                                   everything.revision))
             owned.store_lost_at, owned.store_regained_at = 0.0, now
         before = owned.store_snapshot
-        listed = self._leave_out_unconfigured(_keep_newer(before, everything))
+        listed = self._exclude_unconfigured(_keep_newer(before, everything))
         restored = before is not None and _is_restored(before, listed)
         if restored:
             lifetimes.doubt_returned(owned, listed, now)
         everything = lifetimes.leave_out_unproven(owned, listed)
         self._listed, owned.store_snapshot = listed, everything
         if restored:
-            self._take_restore(before)
-        self._take_servers(everything, now)
+            self._handle_restore(before)
+        self._apply_servers(everything, now)
         savedsuspects.merge_stored(self._context, before, everything)
         self._log_servers(before, everything, heard)
         configuration = everything.configuration
@@ -309,14 +312,14 @@
         elections.follow_rivals(self._context)
         self._publish()
 
-    def _take_restore(self, before: ports.StoreSnapshot) -> None:
+    def _handle_restore(self, before: ports.StoreSnapshot) -> None:
         """Keeps or writes again what a restored store may have lost."""
         owned = self._owned
         elections.keep_assignments(owned, before)
         leases.drop_lost(owned)
 
-    def _take_servers(self, everything: ports.StoreSnapshot,
-                      now: float) -> None:
+    def _apply_servers(self, everything: ports.StoreSnapshot,
+                       now: float) -> None:
         owned = self._owned
         ended_before = set(owned.ended_servers)
         lifetimes.end_predecessors(owned, everything)
@@ -324,10 +327,10 @@
             suspects.note_process_replaced(self._forwarder, owned.servers[name])
         for name in lifetimes.take_back_ends(owned, everything):
             self._logger.info('server_up_after_all', server=name)
-        known_at = self._find_known_at(now)
+        known_at = self._find_known_time(now)
         for name, server in everything.servers.items():
             owned.servers[name] = self._mark_draining(
-                date_draining(server, owned.servers.get(name), known_at))
+                add_draining_time(server, owned.servers.get(name), known_at))
             owned.removal_times.pop(name, None)
         # Entries run out while a store is away that nobody has found silent
         # yet: its news come before it is known to be back.
@@ -342,7 +345,7 @@
                 owned.servers[name] = dataclasses.replace(owned.servers[name],
                                                           unlisted_at=known_at)
 
-    def _find_known_at(self, now: float) -> float:
+    def _find_known_time(self, now: float) -> float:
         """Returns when what is taken in now may first have been acknowledged.
 
         That isn't while the store was away from everybody.
@@ -354,7 +357,7 @@
             return now
         return staleness.find_applied_times(freshness).servers_at
 
-    def _note_draining(self, servers: list[str]) -> None:
+    def _record_draining(self, servers: list[str]) -> None:
         """Marks servers as draining that an entry reported as such."""
         owned = self._owned
         newly_draining = [
@@ -363,12 +366,12 @@
         ]
         if not newly_draining:
             return
-        known_at = self._find_known_at(self._clock.now())
+        known_at = self._find_known_time(self._clock.now())
         for name in newly_draining:
             owned.draining_since[name] = known_at
             owned.servers[name] = self._mark_draining(owned.servers[name])
         self._logger.info('servers_reported_draining',
-                          servers=newly_draining[:MOST_NAMED])
+                          servers=newly_draining[:MAX_LOGGED_SERVERS])
         self._publish()
 
     def _mark_draining(self, server: tables.Server) -> tables.Server:
@@ -401,8 +404,10 @@
             self._logger.info(
                 'servers_heard',
                 servers=len(changed),
-                draining=_name_some(item for item in changed if item.draining),
-                ready=_name_some(item for item in changed if not item.draining),
+                draining=_list_first_ids(
+                    item for item in changed if item.draining),
+                ready=_list_first_ids(
+                    item for item in changed if not item.draining),
                 revision=revisions.format_revision(everything.revision))
         else:
             for server in changed:
@@ -414,7 +419,7 @@
                                   revision=revisions.format_revision(
                                       everything.revision))
 
-    def _leave_out_unconfigured(
+    def _exclude_unconfigured(
             self, found: ports.StoreSnapshot) -> ports.StoreSnapshot:
         """Leaves out entries of servers whose service nobody configured.
 
@@ -433,12 +438,13 @@
                                           service=server.service)
         return dataclasses.replace(found, servers=kept)
 
-    def _take_proven(self, now: float) -> None:
+    def _include_confirmed(self, now: float) -> None:
         """Takes in servers that a restored store has listed long enough."""
         proven = lifetimes.prove_returned(self._owned, now)
         if proven:
-            self._logger.info('servers_returned', servers=proven[:MOST_NAMED])
-            self._take_store(self._listed, True)
+            self._logger.info('servers_returned',
+                              servers=proven[:MAX_LOGGED_SERVERS])
+            self._apply_snapshot(self._listed, True)
 
     def _expire_servers(self, now: float) -> None:
         owned = self._owned
@@ -451,11 +457,11 @@
             owned.departed_servers[name] = owned.servers.pop(name)
         self._logger.info('servers_gone',
                           count=len(gone),
-                          servers=gone[:MOST_NAMED])
+                          servers=gone[:MAX_LOGGED_SERVERS])
         self._publish()
-        self._forget(gone)
+        self._remove_servers(gone)
 
-    def _forget(self, gone: list[str]) -> None:
+    def _remove_servers(self, gone: list[str]) -> None:
         """Drops what request threads keep of servers that left."""
         forwarder = self._forwarder
         with forwarder.lock:
@@ -467,7 +473,7 @@
         for pool in filter(None, pools):
             pool.close()
 
-    def _take_loss(self, reason: outcomes.Reason) -> None:
+    def _handle_store_loss(self, reason: outcomes.Reason) -> None:
         owned = self._owned
         if not owned.store_lost_at:
             owned.store_lost_at = self._clock.now()
@@ -498,15 +504,16 @@
                 dict(everything.coordinators), dict(everything.entries))
             forwarder.changed.notify_all()
 
-    def _take_rows(self, found: dict[str, list[reports.RequestSample]]) -> None:
+    def _add_samples(self, found: dict[str,
+                                       list[reports.RequestSample]]) -> None:
         for service, rows in found.items():
             role = self._owned.roles.get(service)
             if role is not None:
                 role.load_table.add(rows, self._clock.now())
 
 
-def date_draining(server: tables.Server, known: tables.Server | None,
-                  known_at: float) -> tables.Server:
+def add_draining_time(server: tables.Server, known: tables.Server | None,
+                      known_at: float) -> tables.Server:
     """Returns a server with the time from which on it may be draining.
 
     Args:
@@ -528,13 +535,16 @@
             > revisions.find_era(before.revision))
 
 
-def _name_some(servers: Iterable[tables.Server]) -> list[str]:
-    return [server.id for server in itertools.islice(servers, MOST_NAMED)]
+def _list_first_ids(servers: Iterable[tables.Server]) -> list[str]:
+    return [
+        server.id for server in itertools.islice(servers, MAX_LOGGED_SERVERS)
+    ]
 
 
-def find_pause(servers: int) -> float:
+def find_step_interval(servers: int) -> float:
     """Returns the pause between two steps of the actor, ms."""
-    return min(TICK_MS, max(STEP_MS, STEP_PER_SERVER_MS * servers))
+    return min(TICK_INTERVAL_MS,
+               max(MIN_STEP_INTERVAL_MS, STEP_INTERVAL_PER_SERVER_MS * servers))
 
 
 def _keep_newer(before: ports.StoreSnapshot | None,
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -115,7 +115,7 @@
     entry = _make_entry(platform, instance, clock, logger, socket_options,
                         started_at)
     entry.listeners[0].opened = callers
-    note_running = functools.partial(departures.note_running,
+    note_running = functools.partial(departures.record_sigterm_absent,
                                      entry.forwarder.departure,
                                      platform.settings.bounds.grace_ms)
     note_running(started_at)
@@ -172,7 +172,7 @@
         platform,
         logger,
         lambda: following.restart_following(entry.follower),
-        wake=entry.hurry.set)
+        request_tick=entry.hurry.set)
     entry.reporter = reporting.Reporter(
         instance, forwarder,
         httpcalls.Caller(clock, PEER_CONNECTIONS, socket_options),
@@ -181,7 +181,7 @@
         ports.make_peer(instance, platform.settings), entry.reporter,
         platform.store, clock, logger, functools.partial(_take_store, entry),
         lambda reason: entry.actor.tell(control.StoreLost(reason)))
-    entry.follower.probe = lambda: entry.actor.tell(control.Probe())
+    entry.follower.probe = lambda: entry.actor.tell(control.RenewEntryLease())
     platform.store.on_restore(
         functools.partial(following.restart_with_full_read, entry.follower))
     entry.reporter.on_news = functools.partial(storecopy.apply_news,
@@ -330,7 +330,7 @@
 def _show_ready(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
     snapshot = entry.forwarder.snapshot
     ready = (snapshot.configuration is not None and
-             not entry.forwarder.departure.asked and
+             not entry.forwarder.departure.sigterm_received and
              requests.is_server_data_recent(entry.forwarder) and
              requests.is_configuration_recent(entry.forwarder) and
              all(name in snapshot.assignments
@@ -375,7 +375,7 @@
 
 def _take_store(entry: Entry, found: ports.StoreSnapshot, heard: bool) -> None:
     number = staleness.add_pending_change(entry.forwarder.freshness)
-    entry.actor.tell(control.StoreSeen(found, heard, number))
+    entry.actor.tell(control.StoreUpdate(found, heard, number))
     if found.configuration is None:
         return
     limits = found.configuration.limits
@@ -387,7 +387,7 @@
 
 def _tick(entry: Entry) -> None:
     while True:
-        if entry.hurry.wait(control.TICK_MS / clocks.MS_PER_S):
+        if entry.hurry.wait(control.TICK_INTERVAL_MS / clocks.MS_PER_S):
             clocks.pause(entry.pace.pause_ms)
             entry.hurry.clear()
         entry.actor.tell(control.Tick(entry.clock.now()))
@@ -399,13 +399,13 @@
     """Ends without interrupting a request."""
     noticed_at = entry.clock.now()
     departure = entry.forwarder.departure
-    departure.asked = True
+    departure.sigterm_received = True
     entry.logger.info('entry_leaving',
                       inside=entry.count.inside,
                       late_ms=round(noticed_at - departure.checked_at),
                       left_ms=round(_find_left(entry, departure.ends_at)))
     handed_over = threading.Event()
-    entry.actor.tell(control.Leave(handed_over))
+    entry.actor.tell(control.PrepareShutdown(handed_over))
     entry.count.closing = True
     while entry.clock.now() < min(noticed_at + NOTICE_MS, departure.ends_at):
         clocks.pause(_LOOK_MS)
@@ -419,7 +419,7 @@
     # While the store is away nobody else can renew the servers' grants, so this
     # goes on for as long as the process may live.
     grace_ms = entry.platform.settings.bounds.grace_ms
-    latest_end_at = noticed_at + grace_ms - departures.MARGIN_MS
+    latest_end_at = noticed_at + grace_ms - departures.KILL_MARGIN_MS
     handed_over.wait(_find_left(entry, latest_end_at) / clocks.MS_PER_S)
     _log_interrupted(entry)
     entry.logger.info('entry_finished', inside=entry.count.inside)
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -57,7 +57,7 @@
     """Carries a request to its outcome."""
     # Its body may have come long after its headers.
     whole_at = forwarder.clock.now()
-    return (departures.check_arrival(forwarder.departure, whole_at) or
+    return (departures.refuse_late_arrival(forwarder.departure, whole_at) or
             _route(forwarder, request))
 
 
@@ -200,9 +200,9 @@
 def _check_departure(forwarder: requests.Forwarder, run: requests.Run,
                      choice: placement.Choice) -> outcomes.NotRun | None:
     """Returns the refusal of a request that can't end before this process."""
-    return departures.check_send(forwarder.departure, run.deadline_at,
-                                 run.idempotent, choice.expected_ms,
-                                 forwarder.clock.now())
+    return departures.refuse_late_send(forwarder.departure, run.deadline_at,
+                                       run.idempotent, choice.expected_ms,
+                                       forwarder.clock.now())
 
 
 def _check_repeat(forwarder: requests.Forwarder, run: requests.Run,
@@ -237,7 +237,7 @@
     state, pool = _enter(forwarder, run.service, server)
     sent_at = forwarder.clock.now()
     until = min(run.deadline_at,
-                departures.find_end(forwarder.departure, sent_at))
+                departures.find_deadline(forwarder.departure, sent_at))
 
     def make_headers() -> dict[str, str] | None:
         # A connection may take 0.5 s on a small machine, in which news come.
--- a/lentilmoor/edge/reporting.py
+++ b/lentilmoor/edge/reporting.py
@@ -259,7 +259,7 @@
     if report.draining:
         reporter.send_control(control.DrainingReported(report.draining))
     if report.rows:
-        reporter.send_control(control.Reported(report.rows))
+        reporter.send_control(control.RequestsReported(report.rows))
     assignments = {
         name: item
         for name, item in forwarder.snapshot.assignments.items()
@@ -425,7 +425,7 @@
     for name, item in reply.assignments.items():
         known = reporter.forwarder.snapshot.assignments.get(name)
         if known is None or keyranges.is_newer(item, known):
-            reporter.send_control(control.AssignmentHeard(item))
+            reporter.send_control(control.AssignmentReceived(item))
 
 
 def _collect_samples(
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -97,7 +97,7 @@
             ports.make_peer(settings.instance, settings), reporter, connected,
             clock, logger, self._apply,
             lambda reason: self.actor.tell(control.StoreLost(reason)))
-        self.follower.probe = lambda: self.actor.tell(control.Probe())
+        self.follower.probe = lambda: self.actor.tell(control.RenewEntryLease())
         reporter.on_news = functools.partial(storecopy.apply_news,
                                              self.follower)
         self._pages = {
@@ -144,9 +144,9 @@
 
     def _apply(self, found: ports.StoreSnapshot, heard: bool) -> None:
         if not self._fleet.ended.is_set():
-            self.actor.tell(control.Returned(self._wait_for_actor_lock))
+            self.actor.tell(control.CallCompleted(self._wait_for_actor_lock))
             number = staleness.add_pending_change(self.forwarder.freshness)
-            self.actor.tell(control.StoreSeen(found, heard, number))
+            self.actor.tell(control.StoreUpdate(found, heard, number))
 
     def _wait_for_actor_lock(self) -> None:
         with self.faults.actor_lock:
--- a/tests/test_edge_departures.py
+++ b/tests/test_edge_departures.py
@@ -19,13 +19,13 @@
     def setUp(self):
         super().setUp()
         self.departure = departures.Departure()
-        departures.note_running(self.departure, _GRACE_MS, 10_000.0)
-        self.departure.asked = True
+        departures.record_sigterm_absent(self.departure, _GRACE_MS, 10_000.0)
+        self.departure.sigterm_received = True
 
     def _check(self, left_ms: float, repeatable: bool, expected_ms: float,
                at: float) -> bool:
-        return departures.check_send(self.departure, at + left_ms, repeatable,
-                                     expected_ms, at) is None
+        return departures.refuse_late_send(self.departure, at + left_ms,
+                                           repeatable, expected_ms, at) is None
 
     def test_what_is_given_up_before_the_end_is_sent(self):
         for repeatable in (True, False):
@@ -40,13 +40,15 @@
 
     def test_nothing_is_refused_before_sigterm(self):
         running = departures.Departure()
-        self.assertIsNone(departures.check_arrival(running, 1e12))
+        self.assertIsNone(departures.refuse_late_arrival(running, 1e12))
         self.assertIsNone(
-            departures.check_send(running, 1e12, False, 1e9, 1e12 - 1.0))
+            departures.refuse_late_send(running, 1e12, False, 1e9, 1e12 - 1.0))
 
     def test_arrivals_are_judged_by_their_own_time(self):
-        self.assertIsNone(departures.check_arrival(self.departure, 12_999.0))
-        self.assertIsNotNone(departures.check_arrival(self.departure, 13_001.0))
+        self.assertIsNone(
+            departures.refuse_late_arrival(self.departure, 12_999.0))
+        self.assertIsNotNone(
+            departures.refuse_late_arrival(self.departure, 13_001.0))
 
 
 class UncheckedSignalTest(unittest.TestCase):
@@ -55,15 +57,15 @@
     def setUp(self):
         super().setUp()
         self.departure = departures.Departure()
-        departures.note_running(self.departure, _GRACE_MS, 10_000.0)
+        departures.record_sigterm_absent(self.departure, _GRACE_MS, 10_000.0)
 
     def _check(self, at: float, repeatable: bool = False) -> bool:
-        return departures.check_send(self.departure, at + 5_000.0, repeatable,
-                                     800.0, at) is None
+        return departures.refuse_late_send(self.departure, at + 5_000.0,
+                                           repeatable, 800.0, at) is None
 
     def test_long_requests_are_sent_while_it_surely_stays(self):
         self.assertTrue(self._check(11_000.0))
-        self.assertEqual(departures.find_end(self.departure, 11_000.0),
+        self.assertEqual(departures.find_deadline(self.departure, 11_000.0),
                          math.inf)
 
     def test_what_may_outlast_a_stalled_process_is_not_sent(self):
@@ -72,12 +74,15 @@
         self.assertFalse(self._check(13_300.0, repeatable=True))
 
     def test_what_arrives_after_a_long_stall_is_refused(self):
-        self.assertIsNone(departures.check_arrival(self.departure, 13_000.0))
-        self.assertIsNotNone(departures.check_arrival(self.departure, 13_001.0))
+        self.assertIsNone(
+            departures.refuse_late_arrival(self.departure, 13_000.0))
+        self.assertIsNotNone(
+            departures.refuse_late_arrival(self.departure, 13_001.0))
 
     def test_a_later_check_clears_all(self):
-        departures.note_running(self.departure, _GRACE_MS, 14_000.0)
-        self.assertIsNone(departures.check_arrival(self.departure, 14_100.0))
+        departures.record_sigterm_absent(self.departure, _GRACE_MS, 14_000.0)
+        self.assertIsNone(
+            departures.refuse_late_arrival(self.departure, 14_100.0))
         self.assertTrue(self._check(14_100.0))
 
 
@@ -86,10 +91,10 @@
 
     def _leave(self, left_ms: float) -> None:
         """Has the process end so soon from now."""
-        departures.note_running(self.forwarder.departure,
-                                left_ms + departures.MARGIN_MS,
-                                self.forwarder.clock.now())
-        self.forwarder.departure.asked = True
+        departures.record_sigterm_absent(self.forwarder.departure,
+                                         left_ms + departures.KILL_MARGIN_MS,
+                                         self.forwarder.clock.now())
+        self.forwarder.departure.sigterm_received = True
 
     def _leave_before_the_key_moves(self) -> None:
         for timer in (threading.Timer(0.02, self._leave, (400.0,)),
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -385,13 +385,15 @@
     def test_configuration_version_never_decreases(self):
         actor, forwarder = _start_control()
         self.addCleanup(actor.stop)
-        actor.tell(control.StoreSeen(_make_everything(10, 13)))
-        actor.tell(control.StoreSeen(_make_everything(12, 10), heard=True))
-        actor.tell(control.StoreSeen(_make_everything(13, 14)))
+        actor.tell(control.StoreUpdate(_make_everything(10, 13)))
+        actor.tell(control.StoreUpdate(_make_everything(12, 10),
+                                       from_peer=True))
+        actor.tell(control.StoreUpdate(_make_everything(13, 14)))
         platformhelp.wait_until(
             lambda: forwarder.snapshot.configuration and forwarder.snapshot.
             configuration.version == 14, 3.0)
-        actor.tell(control.StoreSeen(_make_everything(15, 10), heard=True))
+        actor.tell(control.StoreUpdate(_make_everything(15, 10),
+                                       from_peer=True))
         actor.ask(control.Tick())
         self.assertEqual(forwarder.snapshot.configuration.version, 14)
 
@@ -412,16 +414,18 @@
                            for revision, servers in ((10, {
                                'i-1': server
                            }), (11, {})))
-        actor.tell(control.StoreSeen(listed))
+        actor.tell(control.StoreUpdate(listed))
         actor.tell(control.StoreLost(outcomes.Reason.TIMED_OUT))
-        actor.tell(control.StoreSeen(missing))
+        actor.tell(control.StoreUpdate(missing))
         actor.ask(control.Tick())
         self.assertGreater(forwarder.snapshot.servers['x']['i-1'].leaves_at, 0)
-        actor.tell(control.StoreSeen(dataclasses.replace(listed, revision=12)))
+        actor.tell(control.StoreUpdate(dataclasses.replace(listed,
+                                                           revision=12)))
         actor.ask(control.Tick())
         self.assertIsNone(forwarder.snapshot.servers['x']['i-1'].leaves_at)
         # The store is available now, so a missing server has left.
-        actor.tell(control.StoreSeen(dataclasses.replace(missing, revision=13)))
+        actor.tell(
+            control.StoreUpdate(dataclasses.replace(missing, revision=13)))
         time.sleep((ownership.RETURN_GRACE_MS + 500.0) / clocks.MS_PER_S)
         actor.ask(control.Tick())
         self.assertNotIn('x', forwarder.snapshot.servers)
--- a/tests/test_edge_handover.py
+++ b/tests/test_edge_handover.py
@@ -79,14 +79,14 @@
             self.time.advance(_STEP_MS)
             while self._events and self._events[0][0] <= self.time.at:
                 take = heapq.heappop(self._events)[2]
-                self.actor.on_receive(control.Returned(take))
+                self.actor.on_receive(control.CallCompleted(take))
             self._tell()
             self.actor.on_receive(control.Tick(self.time.at))
 
     def leave(self) -> threading.Event:
         """Has the entry told that it is to end."""
         done = threading.Event()
-        self.actor.on_receive(control.Leave(done))
+        self.actor.on_receive(control.PrepareShutdown(done))
         return done
 
     def find_longest_gap(self, since: float) -> float:
@@ -115,7 +115,7 @@
             _SERVICE: ports.Peer('e1', 'a:1', registration_revision=1)
         }
         self.actor.on_receive(
-            control.StoreSeen(
+            control.StoreUpdate(
                 ports.StoreSnapshot(
                     configuration, servers, coordinators, {}, dict(self.peers),
                     revisions.combine(self.era, next(self._numbers)))))
--- a/tests/test_edge_knowledge.py
+++ b/tests/test_edge_knowledge.py
@@ -136,7 +136,7 @@
                                        draining_at=1_200.0)
         listed = dataclasses.replace(ready, draining=True)
         self.assertEqual(
-            control.date_draining(listed, reported, 0.0).draining_at, 0.0)
+            control.add_draining_time(listed, reported, 0.0).draining_at, 0.0)
 
 
 class LimitsTest(unittest.TestCase):
--- a/tests/test_edge_servers.py
+++ b/tests/test_edge_servers.py
@@ -41,7 +41,7 @@
             1, {}, {'stock': tables.Service('stock', False, 100, 0.0)},
             tables.CallerLimits())
         actor.on_receive(
-            control.StoreSeen(
+            control.StoreUpdate(
                 ports.StoreSnapshot(configuration, servers, {}, {}, {},
                                     self.revision)))
 
