--- a/benchmarks/instruments.py
+++ b/benchmarks/instruments.py
@@ -100,7 +100,7 @@
 
 
 def _measure_times() -> Row:
-    ours = metrics.Times(clocks.Clock())
+    ours = metrics.Summary(clocks.Clock())
     naive = histogram.HdrHistogram(1, 600_000_000, 2)
     lock = threading.Lock()
     draw = random.Random(1)
--- a/lentilmoor/adminhooks.py
+++ b/lentilmoor/adminhooks.py
@@ -33,7 +33,7 @@
         store=store,
         verify=verifiers.make_verifier(store, base.clock),
         is_ready=lambda: entry.ready and _has_routes(entry),
-        show_metrics=base.registry.show,
+        show_metrics=base.registry.render_text,
         read_status=lambda: entry.ask(lambda tables, now: _read_status(
             tables, entry.ready, now)),
         find_owner=lambda team, service, key: _find_owner(
--- a/lentilmoor/attempts.py
+++ b/lentilmoor/attempts.py
@@ -117,8 +117,8 @@
     with run.span.child('queue'):
         slot = gate.enter(ticket, now)
     if isinstance(slot, admission.Slot):
-        dispatcher.meters.queue_ms.at(call.service,
-                                      call.class_name).record(slot.waited_ms)
+        dispatcher.meters.queue_ms.labeled(
+            call.service, call.class_name).record(slot.waited_ms)
     return slot
 
 
@@ -149,7 +149,7 @@
     now = dispatcher.clock.now()
     took_ms = now - row.started_at
     dispatcher.inflight.end(row)
-    dispatcher.meters.tries.at(call.service, end.value).add()
+    dispatcher.meters.tries.labeled(call.service, end.value).add()
     _leave(run, route, slot, end, took_ms)
     cost_ms = took_ms if end is _End.ANSWERED else 0.0
     dispatcher.observations.append(
--- a/lentilmoor/dispatchers.py
+++ b/lentilmoor/dispatchers.py
@@ -62,8 +62,8 @@
 
     requests: metrics.Family[metrics.Counter]
     tries: metrics.Family[metrics.Counter]
-    request_ms: metrics.Family[metrics.Times]
-    queue_ms: metrics.Family[metrics.Times]
+    request_ms: metrics.Family[metrics.Summary]
+    queue_ms: metrics.Family[metrics.Summary]
 
 
 def make_meters(registry: metrics.Registry) -> Meters:
@@ -74,11 +74,11 @@
                          'outcome', 'reason'),
         registry.counter('lentilmoor_tries', 'Tries at servers by their end',
                          'service', 'end'),
-        registry.times('lentilmoor_request_ms',
-                       'Time from arrival to the start of the answer, ms',
-                       'service', 'class'),
-        registry.times('lentilmoor_queue_ms', 'Wait for a slot of a server, ms',
-                       'service', 'class'))
+        registry.summary('lentilmoor_request_ms',
+                         'Time from arrival to the start of the answer, ms',
+                         'service', 'class'),
+        registry.summary('lentilmoor_queue_ms',
+                         'Wait for a slot of a server, ms', 'service', 'class'))
 
 
 class Dispatcher:
--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -290,8 +290,8 @@
         listed = self._exclude_unconfigured(_keep_newer(before, everything))
         restored = before is not None and _is_restored(before, listed)
         if restored:
-            lifetimes.doubt_returned(owned, listed, now)
-        everything = lifetimes.leave_out_unproven(owned, listed)
+            lifetimes.mark_unconfirmed(owned, listed, now)
+        everything = lifetimes.exclude_unconfirmed(owned, listed)
         self._listed, owned.store_snapshot = listed, everything
         if restored:
             self._handle_restore(before)
@@ -322,10 +322,10 @@
                        now: float) -> None:
         owned = self._owned
         ended_before = set(owned.ended_servers)
-        lifetimes.end_predecessors(owned, everything)
+        lifetimes.mark_replaced(owned, everything)
         for name in (owned.ended_servers - ended_before) & owned.servers.keys():
             suspects.note_process_replaced(self._forwarder, owned.servers[name])
-        for name in lifetimes.take_back_ends(owned, everything):
+        for name in lifetimes.reinstate_listed_alone(owned, everything):
             self._logger.info('server_up_after_all', server=name)
         known_at = self._find_known_time(now)
         for name, server in everything.servers.items():
@@ -432,15 +432,15 @@
             if server.service in services:
                 kept[name] = server
             else:
-                self._context.states.note('server_entry_refused',
-                                          name,
-                                          'its service is not configured',
-                                          service=server.service)
+                self._context.states.log_change('server_entry_refused',
+                                                name,
+                                                'its service is not configured',
+                                                service=server.service)
         return dataclasses.replace(found, servers=kept)
 
     def _include_confirmed(self, now: float) -> None:
         """Takes in servers that a restored store has listed long enough."""
-        proven = lifetimes.prove_returned(self._owned, now)
+        proven = lifetimes.confirm_returned(self._owned, now)
         if proven:
             self._logger.info('servers_returned',
                               servers=proven[:MAX_LOGGED_SERVERS])
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -246,7 +246,7 @@
     snapshot = entry.forwarder.snapshot
     gauges = {
         'inside':
-            float(entry.count.inside),
+            float(entry.count.in_flight),
         'servers':
             float(sum(len(rows) for rows in snapshot.servers.values())),
         'entries':
@@ -401,12 +401,12 @@
     departure = entry.forwarder.departure
     departure.sigterm_received = True
     entry.logger.info('entry_leaving',
-                      inside=entry.count.inside,
+                      inside=entry.count.in_flight,
                       late_ms=round(noticed_at - departure.checked_at),
                       left_ms=round(_find_left(entry, departure.ends_at)))
     handed_over = threading.Event()
     entry.actor.tell(control.PrepareShutdown(handed_over))
-    entry.count.closing = True
+    entry.count.close_connections = True
     while entry.clock.now() < min(noticed_at + NOTICE_MS, departure.ends_at):
         clocks.pause(_LOOK_MS)
     # Takes no new connections, closes idle ones and waits for the others. The
@@ -422,7 +422,7 @@
     latest_end_at = noticed_at + grace_ms - departures.KILL_MARGIN_MS
     handed_over.wait(_find_left(entry, latest_end_at) / clocks.MS_PER_S)
     _log_interrupted(entry)
-    entry.logger.info('entry_finished', inside=entry.count.inside)
+    entry.logger.info('entry_finished', inside=entry.count.in_flight)
 
 
 def _find_left(entry: Entry, ends_at: float) -> float:
--- a/lentilmoor/edge/leases.py
+++ b/lentilmoor/edge/leases.py
@@ -165,10 +165,10 @@
     if owned.coordinator_lease is not lease:
         return
     if ends:
-        context.states.note('coordinator_lease_end',
-                            str(lease.id),
-                            'ended' if result is None else result.reason,
-                            reason=owned.handover_reason)
+        context.states.log_change('coordinator_lease_end',
+                                  str(lease.id),
+                                  'ended' if result is None else result.reason,
+                                  reason=owned.handover_reason)
     elif controlstate.is_lease_expired(result):
         context.logger.warning('coordinator_lease_lapsed')
     if controlstate.is_lease_expired(result) or ends and result is None:
--- a/lentilmoor/edge/lifetimes.py
+++ b/lentilmoor/edge/lifetimes.py
@@ -13,11 +13,11 @@
 from lentilmoor.edge import tables
 
 # Entries of servers that are silent have run out by then.
-UNPROVEN_MS = 4_000.0
+CONFIRMATION_MS = 4_000.0
 
 
-def end_predecessors(owned: controlstate.ControlState,
-                     everything: ports.StoreSnapshot) -> None:
+def mark_replaced(owned: controlstate.ControlState,
+                  everything: ports.StoreSnapshot) -> None:
     """Notes whose processes have ended, as others are in their place.
 
     An entry that comes back after its process has ended was written late, and
@@ -41,8 +41,8 @@
             other.id for other in others if tables.has_replaced(server, other))
 
 
-def take_back_ends(owned: controlstate.ControlState,
-                   everything: ports.StoreSnapshot) -> list[str]:
+def reinstate_listed_alone(owned: controlstate.ControlState,
+                           everything: ports.StoreSnapshot) -> list[str]:
     """Takes servers for up that are listed alone at their address.
 
     Only those that don't tell when they started: a late entry, of a process
@@ -65,8 +65,8 @@
     return found
 
 
-def doubt_returned(owned: controlstate.ControlState,
-                   everything: ports.StoreSnapshot, now: float) -> None:
+def mark_unconfirmed(owned: controlstate.ControlState,
+                     everything: ports.StoreSnapshot, now: float) -> None:
     """Notes which servers had left and are listed again by a restored store.
 
     Args:
@@ -77,11 +77,11 @@
     for name in everything.servers:
         if (name in owned.departed_servers or name in owned.removal_times or
                 name in owned.ended_servers):
-            owned.unconfirmed_servers[name] = now + UNPROVEN_MS
+            owned.unconfirmed_servers[name] = now + CONFIRMATION_MS
 
 
-def leave_out_unproven(owned: controlstate.ControlState,
-                       everything: ports.StoreSnapshot) -> ports.StoreSnapshot:
+def exclude_unconfirmed(owned: controlstate.ControlState,
+                        everything: ports.StoreSnapshot) -> ports.StoreSnapshot:
     """Leaves out servers whose entry may be that of a process that has left."""
     if not owned.unconfirmed_servers:
         return everything
@@ -96,7 +96,7 @@
         })
 
 
-def prove_returned(owned: controlstate.ControlState, now: float) -> list[str]:
+def confirm_returned(owned: controlstate.ControlState, now: float) -> list[str]:
     """Returns servers that are still listed and count as up from now on."""
     proven = [
         name for name, at in owned.unconfirmed_servers.items() if at <= now
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -149,7 +149,7 @@
                 outcome = forward(request)
                 note(request, outcome)
                 # Set last: a shutdown may have begun meanwhile.
-                self.req.close_connection |= count.closing
+                self.req.close_connection |= count.close_connections
                 _write(self.req, request, outcome)
             finally:
                 count.leave()
--- a/lentilmoor/edge/requestmetrics.py
+++ b/lentilmoor/edge/requestmetrics.py
@@ -52,7 +52,7 @@
             self._requests = self._registry.counter('lentilmoor_requests',
                                                     'Requests by outcome.',
                                                     'outcome', 'reason')
-            self._request_ms = self._registry.times(
+            self._request_ms = self._registry.summary(
                 'lentilmoor_request_ms', 'Time from arrival to outcome.',
                 'outcome')
         with self._lock:
@@ -60,12 +60,12 @@
             times = list(self._times)
             self._times.clear()
         for (outcome, reason), count in counts.items():
-            self._requests.at(outcome, reason).add(count)
+            self._requests.labeled(outcome, reason).add(count)
         for outcome, ms in times:
-            self._request_ms.at(outcome).record(ms)
+            self._request_ms.labeled(outcome).record(ms)
         for name, value in gauges.items():
             if name not in self._gauges:
                 self._gauges[name] = self._registry.gauge(
-                    'lentilmoor_' + name, name.replace('_', ' ')).at()
+                    'lentilmoor_' + name, name.replace('_', ' ')).labeled()
             self._gauges[name].set(value)
-        return self._registry.show()
+        return self._registry.render_text()
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -153,12 +153,12 @@
                                link=granted.link,
                                took_ms=round(now - sent_at),
                                in_force_ms=round(in_force_ms))
-    context.states.note('grant_answer',
-                        grant.server.id,
-                        granted.outcome,
-                        service=grant.service,
-                        fence=grant.fence,
-                        first=grant.key_range.first)
+    context.states.log_change('grant_answer',
+                              grant.server.id,
+                              granted.outcome,
+                              service=grant.service,
+                              fence=grant.fence,
+                              first=grant.key_range.first)
 
 
 def _released(context: controlstate.Context, state: ownership.Coordination,
--- a/lentilmoor/gateways.py
+++ b/lentilmoor/gateways.py
@@ -86,7 +86,7 @@
         def respond(self) -> None:
             """Reads the request, carries it and writes its outcome."""
             count.enter()
-            self.req.close_connection |= count.closing
+            self.req.close_connection |= count.close_connections
             if self.req.chunked_read:
                 self.req.rfile = chunks.ChunkedBody(self.req.conn.rfile)
             try:
@@ -193,16 +193,17 @@
         outcome = (problems.Outcome.NOT_RUN if isinstance(
             result, outcomes.NotRun) else problems.Outcome.UNKNOWN)
         reason = result.reason.value
-    dispatcher.meters.requests.at(call.service, outcome.value, reason).add()
+    dispatcher.meters.requests.labeled(call.service, outcome.value,
+                                       reason).add()
     name = call.settings.classes[call.class_index].name
-    dispatcher.meters.request_ms.at(call.service, name).record(took_ms)
+    dispatcher.meters.request_ms.labeled(call.service, name).record(took_ms)
 
 
 def _refuse(request: cheroot_server.HTTPRequest,
             dispatcher: dispatchers.Dispatcher,
             refusal: outcomes.NotRun) -> None:
-    dispatcher.meters.requests.at('', problems.Outcome.NOT_RUN.value,
-                                  refusal.reason.value).add()
+    dispatcher.meters.requests.labeled('', problems.Outcome.NOT_RUN.value,
+                                       refusal.reason.value).add()
     responses.write_problem(request, problems.make(refusal,
                                                    dispatcher.instance))
 
--- a/lentilmoor/linequeue.py
+++ b/lentilmoor/linequeue.py
@@ -16,12 +16,12 @@
 
 # Lines a second: some three a request at the usual load of an entry, and a
 # tenth of a core at most (about 0.1 ms a line).
-LINES_PER_S = 300
+MAX_LINES_PER_S = 300
 # Lines that wait for a reader that is slow; about half a megabyte.
-MOST_WAITING = 2_000
+MAX_QUEUED_LINES = 2_000
 # Longest write, but for one long line: a pipe takes it as a whole, and readers
 # of logs may cut longer ones.
-BLOCK_BYTES = 4_096
+MAX_BLOCK_BYTES = 4_096
 _CLOSE_S = 0.3
 
 
@@ -53,8 +53,8 @@
             if second != self._second:
                 self._second, self._written = second, 0
             self._written += 1
-            if (self._written > LINES_PER_S or
-                    len(self._lines) >= MOST_WAITING):
+            if (self._written > MAX_LINES_PER_S or
+                    len(self._lines) >= MAX_QUEUED_LINES):
                 self._left_out += 1
                 return
             self._lines.append(text)
@@ -97,7 +97,7 @@
     block, size = [], 0
     for line in lines:
         length = len(line.encode())
-        if block and size + length > BLOCK_BYTES:
+        if block and size + length > MAX_BLOCK_BYTES:
             yield ''.join(block)
             block, size = [], 0
         block.append(line)
--- a/lentilmoor/logs.py
+++ b/lentilmoor/logs.py
@@ -64,8 +64,8 @@
                  object] = dataclasses.field(default_factory=dict)
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
 
-    def note(self, event: str, subject: str, state: object,
-             **fields: object) -> bool:
+    def log_change(self, event: str, subject: str, state: object,
+                   **fields: object) -> bool:
         """Writes a line if the state is new for this subject.
 
         Args:
@@ -96,9 +96,9 @@
         return True
 
 
-def make_notes(logger: Logger) -> Callable[..., bool]:
+def make_change_logger(logger: Logger) -> Callable[..., bool]:
     """Returns `StateLog.note` of a new state log over a logger."""
-    return StateLog(logger).note
+    return StateLog(logger).log_change
 
 
 def _show(state: object) -> object:
--- a/lentilmoor/metrics.py
+++ b/lentilmoor/metrics.py
@@ -21,7 +21,7 @@
 
 QUANTILES = (0.5, 0.9, 0.99, 0.999)
 MAX_CHILDREN = 1_000
-OTHER = 'other'
+OVERFLOW_LABEL = 'other'
 WINDOW_MS = 60_000.0
 CONTENT_TYPE = prometheus_client.CONTENT_TYPE_LATEST
 
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TimesSnapshot:
+class SummarySnapshot:
     """Times seen so far.
 
     Attributes:
@@ -102,7 +102,7 @@
     quantiles_ms: tuple[float, ...]
 
 
-class Times:
+class Summary:
     """Durations in two HDR histograms, of this window and of the last."""
 
     __slots__ = ('_clock', '_count', '_current', '_last', '_lock', '_queue',
@@ -134,7 +134,7 @@
         finally:
             self._lock.release()
 
-    def read(self) -> TimesSnapshot:
+    def read(self) -> SummarySnapshot:
         """Returns counts and quantiles with everything queued included."""
         with self._lock:
             self._drain()
@@ -144,7 +144,7 @@
             values = merged.get_percentile_to_value_dict(_PERCENTILES)
             quantiles = tuple(
                 values[percentile] / _US_PER_MS for percentile in _PERCENTILES)
-            return TimesSnapshot(self._count, self._sum_ms, quantiles)
+            return SummarySnapshot(self._count, self._sum_ms, quantiles)
 
     def _drain(self) -> None:
         self._rotate()
@@ -172,21 +172,22 @@
     """Metrics of one name, one for each set of label values.
 
     At most `MAX_CHILDREN` sets get a metric of their own; the rest share the
-    one whose labels are all `OTHER`, so that callers can't fill the memory.
+    one whose labels are all `OVERFLOW_LABEL`, so that callers can't fill the
+    memory.
     """
 
-    __slots__ = ('_children', '_lock', '_make', 'labels', 'name', 'text')
+    __slots__ = ('_children', '_lock', '_make', 'labels', 'name', 'help_text')
 
     def __init__(self, name: str, text: str, labels: tuple[str, ...],
                  make: Callable[[], _Metric]):
         self.name = name
-        self.text = text
+        self.help_text = text
         self.labels = labels
         self._make = make
         self._children: dict[tuple[str, ...], _Metric] = {}
         self._lock = threading.Lock()
 
-    def at(self, *values: str) -> _Metric:
+    def labeled(self, *values: str) -> _Metric:
         """Returns the metric of these label values, in the labels' order."""
         child = self._children.get(values)
         return self._add(values) if child is None else child
@@ -201,7 +202,7 @@
             raise ValueError(f'{self.name}: expected labels {self.labels}')
         with self._lock:
             if len(self._children) >= MAX_CHILDREN:
-                values = (OTHER,) * len(self.labels)
+                values = (OVERFLOW_LABEL,) * len(self.labels)
             return self._children.setdefault(values, self._make())
 
 
@@ -212,7 +213,7 @@
         self._clock = clock
         self._counters: list[Family[Counter]] = []
         self._gauges: list[Family[Gauge]] = []
-        self._times: list[Family[Times]] = []
+        self._times: list[Family[Summary]] = []
         self._exposed = prometheus_client.CollectorRegistry()
         self._exposed.register(self)
 
@@ -231,12 +232,12 @@
         family = Family(name, text, labels, lambda: Gauge(read))
         self._gauges.append(family)
         if read is not None and not labels:
-            family.at()
+            family.labeled()
         return family
 
-    def times(self, name: str, text: str, *labels: str) -> Family[Times]:
+    def summary(self, name: str, text: str, *labels: str) -> Family[Summary]:
         """Registers a family of durations; the name should end in `_ms`."""
-        family = Family(name, text, labels, lambda: Times(self._clock))
+        family = Family(name, text, labels, lambda: Summary(self._clock))
         self._times.append(family)
         return family
 
@@ -246,7 +247,7 @@
             for _, child in family.children():
                 child.flush()
 
-    def show(self) -> bytes:
+    def render_text(self) -> bytes:
         """Returns every metric in the Prometheus text form."""
         return prometheus_client.generate_latest(self._exposed)
 
@@ -279,7 +280,7 @@
 
 def _show_counters(family: Family[Counter]) -> metrics_core.Metric:
     shown = metrics_core.CounterMetricFamily(family.name,
-                                             family.text,
+                                             family.help_text,
                                              labels=family.labels)
     for values, child in family.children():
         shown.add_metric(values, child.read())
@@ -288,16 +289,16 @@
 
 def _show_gauges(family: Family[Gauge]) -> metrics_core.Metric:
     shown = metrics_core.GaugeMetricFamily(family.name,
-                                           family.text,
+                                           family.help_text,
                                            labels=family.labels)
     for values, child in family.children():
         shown.add_metric(values, child.read())
     return shown
 
 
-def _show_times(family: Family[Times]) -> metrics_core.Metric:
+def _show_times(family: Family[Summary]) -> metrics_core.Metric:
     shown = metrics_core.SummaryMetricFamily(family.name,
-                                             family.text,
+                                             family.help_text,
                                              labels=family.labels)
     for values, child in family.children():
         snapshot = child.read()
--- a/lentilmoor/shutdowns.py
+++ b/lentilmoor/shutdowns.py
@@ -12,10 +12,10 @@
 from lentilmoor import clocks
 
 # How long the balancer and the peers may take to notice.
-NOTICE_MS = 2_000.0
+BALANCER_DELAY_MS = 2_000.0
 # How long nothing must have arrived before connections are closed.
 QUIET_MS = 500.0
-LONGEST_MS = 60_000.0
+MAX_WAIT_MS = 60_000.0
 _LOOK_EVERY_MS = 20.0
 
 
@@ -24,33 +24,33 @@
     """Requests of callers and peers that are being answered.
 
     Attributes:
-      inside: How many.
-      closing: Whether connections are closed after their request.
+      in_flight: How many.
+      close_connections: Whether connections are closed after their request.
       arrived: How many have arrived since the start.
       lock: Guards the counts.
     """
 
-    inside: int = 0
-    closing: bool = False
+    in_flight: int = 0
+    close_connections: bool = False
     arrived: int = 0
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
 
     def enter(self) -> None:
         """Counts a request in."""
         with self.lock:
-            self.inside += 1
+            self.in_flight += 1
             self.arrived += 1
 
     def leave(self) -> None:
         """Counts a request out."""
         with self.lock:
-            self.inside -= 1
+            self.in_flight -= 1
 
 
 def finish_requests(count: RequestCount,
                     clock: clocks.Clock,
                     wait: Callable[[float], object],
-                    notice_ms: float = NOTICE_MS) -> bool:
+                    notice_ms: float = BALANCER_DELAY_MS) -> bool:
     """Waits until no request runs and none arrives any more.
 
     Args:
@@ -65,11 +65,11 @@
     began = clock.now()
     while clock.now() - began < notice_ms:
         wait(_LOOK_EVERY_MS / clocks.MS_PER_S)
-    count.closing = True
+    count.close_connections = True
     quiet_since = clock.now()
     arrived = count.arrived
-    while clock.now() - began < LONGEST_MS:
-        if count.inside or count.arrived != arrived:
+    while clock.now() - began < MAX_WAIT_MS:
+        if count.in_flight or count.arrived != arrived:
             arrived = count.arrived
             quiet_since = clock.now()
         elif clock.now() - quiet_since >= QUIET_MS:
--- a/lentilmoor/wirings.py
+++ b/lentilmoor/wirings.py
@@ -37,7 +37,7 @@
 def make_error_log(base: entries.Base) -> gateways.LogError:
     """Returns what takes the faults of the HTTP servers."""
     errors = base.registry.counter('lentilmoor_request_errors',
-                                   'Requests that ended in a fault').at()
+                                   'Requests that ended in a fault').labeled()
 
     def log_error(message: str = '',
                   level: int = logging.INFO,
@@ -101,7 +101,8 @@
                                 send_evidence=runner.send_evidence,
                                 probe=runner.probe,
                                 read_list=runner.read_list,
-                                note_change=logs.make_notes(base.logger))
+                                note_change=logs.make_change_logger(
+                                    base.logger))
     return controltables.ControlTables(
         own=entry.own,
         settings=base.settings,
--- a/tests/test_edge_reports.py
+++ b/tests/test_edge_reports.py
@@ -519,7 +519,7 @@
         lines.write('next\n')
         lines.close()
         text = stream.getvalue()
-        self.assertEqual(text.count('x\n'), linequeue.LINES_PER_S)
+        self.assertEqual(text.count('x\n'), linequeue.MAX_LINES_PER_S)
         # The writing thread may report the count in several lines.
         counts = [
             json.loads(line)['count']
--- a/tests/test_gateways.py
+++ b/tests/test_gateways.py
@@ -293,9 +293,9 @@
 
     def test_connections_are_closed_when_the_process_ends(self):
         self.assertIsNone(self._ask()[0].headers['Connection'])
-        self.count.closing = True
+        self.count.close_connections = True
         self.assertEqual(self._ask()[0].headers['Connection'], 'close')
-        waits.wait_for(lambda: self.count.inside == 0)
+        waits.wait_for(lambda: self.count.in_flight == 0)
 
 
 class RelayTest(_Base):
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -13,7 +13,7 @@
     return {
         (sample.name, tuple(sorted(sample.labels.items()))): sample.value
         for family in parser.text_string_to_metric_families(
-            registry.show().decode()) for sample in family.samples
+            registry.render_text().decode()) for sample in family.samples
     }
 
 
@@ -46,7 +46,7 @@
 
     def setUp(self):
         self.time = clocks.ManualTime()
-        self.times = metrics.Times(self.time.clock())
+        self.times = metrics.Summary(self.time.clock())
 
     def test_quantiles_within_two_digits(self):
         for ms in range(1, 1_001):
@@ -93,10 +93,11 @@
 
     def test_text_form(self):
         requests = self.registry.counter('requests', 'Requests.', 'service')
-        requests.at('shop/stock').add(2)
-        requests.at('a"b\\c\n').add()
+        requests.labeled('shop/stock').add(2)
+        requests.labeled('a"b\\c\n').add()
         self.registry.gauge('ready', 'Ready.', read=lambda: 1.0)
-        self.registry.times('hop_ms', 'Hop.', 'hop').at('try').record(4.0)
+        self.registry.summary('hop_ms', 'Hop.',
+                              'hop').labeled('try').record(4.0)
         samples = _samples(self.registry)
         self.assertEqual(
             samples['requests_total', (('service', 'shop/stock'),)], 2)
@@ -110,10 +111,10 @@
     def test_label_sets_are_bounded(self):
         family = self.registry.counter('requests', 'Requests.', 'path')
         for index in range(metrics.MAX_CHILDREN + 50):
-            family.at(f'/{index}').add()
+            family.labeled(f'/{index}').add()
         self.assertLessEqual(len(family.children()), metrics.MAX_CHILDREN + 1)
-        self.assertEqual(family.at(metrics.OTHER).read(), 50)
+        self.assertEqual(family.labeled(metrics.OVERFLOW_LABEL).read(), 50)
 
     def test_wrong_number_of_labels(self):
         with self.assertRaises(ValueError):
-            self.registry.counter('requests', 'Requests.', 'path').at()
+            self.registry.counter('requests', 'Requests.', 'path').labeled()
--- a/tests/test_shutdowns.py
+++ b/tests/test_shutdowns.py
@@ -28,11 +28,12 @@
     def test_connections_stay_open_while_others_take_notice(self):
         seen = []
         self.plan = {
-            at: lambda: seen.append(self.count.closing) for at in (0.0, 1_900.0)
+            at: lambda: seen.append(self.count.close_connections)
+            for at in (0.0, 1_900.0)
         }
         self.assertTrue(self._finish())
         self.assertEqual(seen, [False, False])
-        self.assertTrue(self.count.closing)
+        self.assertTrue(self.count.close_connections)
         self.assertLess(self.time.at, 3_000.0)
 
     def test_a_request_that_runs_is_waited_for(self):
@@ -57,7 +58,7 @@
     def test_a_request_without_end_is_reported(self):
         self.count.enter()
         self.assertFalse(self._finish())
-        self.assertGreaterEqual(self.time.at, shutdowns.LONGEST_MS)
+        self.assertGreaterEqual(self.time.at, shutdowns.MAX_WAIT_MS)
 
 
 if __name__ == '__main__':
--- a/tests/test_traces.py
+++ b/tests/test_traces.py
@@ -105,7 +105,7 @@
 
     def test_a_line_only_for_a_change(self):
         stream = io.StringIO()
-        note = logs.make_notes(logs.make_logger('entry-1', stream))
+        note = logs.make_change_logger(logs.make_logger('entry-1', stream))
         self.assertTrue(note('liveness', 's-1', 'live'))
         self.assertFalse(note('liveness', 's-1', 'live'))
         self.assertTrue(note('liveness', 's-2', 'live'))
