--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -1,9 +1,9 @@
-"""The control actor: owns what an entry believes.
+"""The control actor: owns the control state of an entry.
 
-It takes in what the store tells, publishes snapshots for request threads, and
-has `leases`, `elections` and `roles` do their part soon after messages, at a
-pace that leaves time for everything else. Calls that wait are made by its
-threads; what came of them returns as a message.
+It applies the content of the store, publishes snapshots for request threads,
+and runs a step of `leases`, `elections` and `roles` soon after messages, with
+pauses in between so that other work isn't delayed. Blocking calls are made by
+its thread pools; their results return as messages.
 """
 
 from collections.abc import Callable
@@ -37,33 +37,34 @@
 from lentilmoor.edge import tables
 
 TICK_INTERVAL_MS = 100.0
-# What is due is worked out no closer than this, or than the second figure for
-# each server, whichever is more: working it out after each message leaves a hub
-# of many entries no time to tell them what has changed.
+# Minimum interval between steps: the larger of this value and the next one
+# multiplied by the number of servers. With a step after each message, a hub of
+# many entries has no time left to send them changes.
 MIN_STEP_INTERVAL_MS = 5.0
 STEP_INTERVAL_PER_SERVER_MS = 0.12
 STORE_THREADS = 4
-# Grants and probes. Silent servers hold some until their calls time out, and
-# must not keep the others' grants from being renewed. Threads start when they
-# are needed.
+# For grants and probes. Unresponsive servers occupy threads until their calls
+# time out, and must not prevent the renewal of other servers' grants. Threads
+# are started on demand.
 SERVER_THREADS = 64
-# A release is answered when the work under way has ended.
+# A release is answered only after the requests in flight have finished.
 RELEASE_THREADS = 16
-# Servers that one line names.
+# Maximum number of servers that a log line lists.
 MAX_LOGGED_SERVERS = 20
-# A tick that waited for longer is told, at most once in the second figure.
+# A longer delay of a tick is logged, at most once per log interval.
 MIN_LOGGED_DELAY_MS = 250.0
 DELAY_LOG_INTERVAL_MS = 1_000.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreUpdate:
-    """What the store holds now.
+    """New content of the store.
 
     Attributes:
-      snapshot: What it holds.
-      from_peer: Whether another entry told it.
-      change_number: Of the change (see `staleness.add_pending_change`).
+      snapshot: All that the store holds for an entry.
+      from_peer: Whether it was received from another entry instead of the
+        store.
+      change_number: Number of the change (see `staleness.add_pending_change`).
     """
 
     snapshot: ports.StoreSnapshot
@@ -73,17 +74,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreLost:
-    """The store can't be reached."""
+    """The store is unreachable."""
 
     reason: outcomes.Reason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed.
+    """Lets the actor do what has become due.
 
     Attributes:
-      sent_at: When it was sent, ms.
+      sent_at: When it was sent, ms; None if its delay isn't measured.
     """
 
     sent_at: float | None = None
@@ -91,10 +92,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallCompleted:
-    """A call has ended; `handle_result` takes in its result.
+    """A call made by a thread pool has completed.
 
     Attributes:
-      handle_result: Run by the actor.
+      handle_result: Applies the result; run by the actor.
     """
 
     handle_result: Callable[[], None]
@@ -102,43 +103,43 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestsReported:
-    """Requests for keys that an entry reports, by service."""
+    """An entry reported samples of its requests, by service."""
 
     samples: dict[str, list[reports.RequestSample]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainingReported:
-    """An entry reported servers whose answers say that they are draining."""
+    """An entry reported servers that announced draining in their answers."""
 
     servers: list[str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AssignmentReceived:
-    """Another entry told of an assignment."""
+    """Another entry sent an assignment of key ranges."""
 
     assignment: keyranges.Assignment
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RenewEntryLease:
-    """The entry's lease is to be renewed now, to learn if the store answers."""
+    """Renews the entry's lease now, to check whether the store answers."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PrepareShutdown:
-    """This entry is about to end.
+    """Gives up all leases, as this process is shutting down.
 
     Attributes:
-      done: Set when others can take over.
+      done: Set when other entries can take over.
     """
 
     done: threading.Event
 
 
 class Control(pykka.ThreadingActor):
-    """Takes messages in turn; all state is in what it believes."""
+    """Handles messages one at a time; its state is a `ControlState`."""
 
     use_daemon_thread = True
 
@@ -150,28 +151,30 @@
                  restart_following: Callable[[], None],
                  call: Callable[..., None] | None = None,
                  request_tick: Callable[[], None] = lambda: None):
-        """Makes the actor.
+        """Initializes the actor; `start` also starts its thread.
 
         Args:
-          owned: What it believes.
-          forwarder: What request threads share.
-          platform: The adapter.
-          logger: Takes lines.
-          restart_following: Starts to follow the store anew.
-          call: Has a thread make a call (see `controlstate.Context`); threads
-            of its own if None.
-          request_tick: Asks for a tick soon, as something may be due.
+          owned: The control state; only the actor changes it.
+          forwarder: State shared by request threads.
+          platform: Adapter of the platform.
+          logger: Logger for state changes.
+          restart_following: Restarts the watch of the store.
+          call: Makes a call in another thread (see `controlstate.Context`); if
+            None, the actor's own thread pools do.
+          request_tick: Requests a tick soon, as something may be due.
         """
         super().__init__()
-        self._wake = request_tick
+        self._request_tick = request_tick
         self._stepped_at = float('-inf')
-        # What the store lists, with servers that are left out for now.
+        # The content of the store, including servers that aren't used until
+        # they are confirmed.
         self._listed: ports.StoreSnapshot | None = None
         self._owned = owned
         self._forwarder = forwarder
         self._logger = logger
         self._clock = forwarder.clock
-        # Servers that don't answer must not keep leases from being kept.
+        # Calls to the store have their own pool: unresponsive servers must not
+        # delay the renewal of leases.
         self._store_calls = futures.ThreadPoolExecutor(STORE_THREADS, 'store')
         self._context = controlstate.Context(
             ports.make_peer(owned.instance, platform.settings),
@@ -189,7 +192,7 @@
                                                      'releases'))
 
     def on_receive(self, message) -> None:
-        """Takes one message."""
+        """Handles a message, then runs a step if one is due."""
         if isinstance(message, CallCompleted):
             message.handle_result()
         elif isinstance(message, StoreUpdate):
@@ -215,39 +218,39 @@
         self._step_if_due()
 
     def on_failure(self, exception_type, exception_value, traceback) -> None:
-        """Logs a broken invariant; the process ends by itself."""
+        """Logs the exception that stops the actor."""
         self._logger.error('control_failed',
                            exc_info=(exception_type, exception_value,
                                      traceback))
 
     def _log_delay(self, tick: Tick) -> None:
-        """Tells if messages wait: all that this entry decides is late then."""
-        pace, now = self._owned.timing, self._clock.now()
-        pace.tick_delay_ms = now - (now
-                                    if tick.sent_at is None else tick.sent_at)
-        if (pace.tick_delay_ms < MIN_LOGGED_DELAY_MS or
-                now - pace.logged_at < DELAY_LOG_INTERVAL_MS):
+        """Logs a long delay of a tick: all decisions are then late."""
+        timing, now = self._owned.timing, self._clock.now()
+        timing.tick_delay_ms = now - (now
+                                      if tick.sent_at is None else tick.sent_at)
+        if (timing.tick_delay_ms < MIN_LOGGED_DELAY_MS or
+                now - timing.logged_at < DELAY_LOG_INTERVAL_MS):
             return
-        pace.logged_at = now
+        timing.logged_at = now
         self._logger.warning('control_late',
-                             late_ms=round(pace.tick_delay_ms),
+                             late_ms=round(timing.tick_delay_ms),
                              waiting=self.actor_inbox.qsize(),
-                             steps=pace.steps,
-                             step_ms=round(pace.step_ms))
+                             steps=timing.steps,
+                             step_ms=round(timing.step_ms))
 
     def _step_if_due(self) -> None:
         now = self._clock.now()
         if self._owned.store_snapshot is None:
             return
-        pace = self._owned.timing
-        pace.pause_ms = find_step_interval(len(self._owned.servers))
-        if now - self._stepped_at < pace.pause_ms:
-            self._wake()
+        timing = self._owned.timing
+        timing.pause_ms = find_step_interval(len(self._owned.servers))
+        if now - self._stepped_at < timing.pause_ms:
+            self._request_tick()
             return
         self._stepped_at = now
         self._step(now)
-        pace.steps += 1
-        pace.step_ms += self._clock.now() - now
+        timing.steps += 1
+        timing.step_ms += self._clock.now() - now
 
     def _step(self, now: float) -> None:
         self._include_confirmed(now)
@@ -260,51 +263,52 @@
         savedsuspects.update_store(self._context, now)
 
     def _call(self,
-              work: Callable[[], object],
-              take: Callable[[object, float], None],
-              pool: futures.Executor | None = None) -> None:
-        """Has a thread make a call; its result returns as a message."""
+              function: Callable[[], object],
+              handle_result: Callable[[object, float], None],
+              executor: futures.Executor | None = None) -> None:
+        """Makes a call in a thread pool; its result returns as a message."""
         actor = self.actor_ref
 
         def run() -> None:
             sent_at = self._clock.now()
-            result = work()
+            result = function()
             if actor.is_alive():
-                actor.tell(CallCompleted(lambda: take(result, sent_at)))
+                actor.tell(
+                    CallCompleted(lambda: handle_result(result, sent_at)))
 
-        (pool or self._store_calls).submit(run)
+        (executor or self._store_calls).submit(run)
 
-    def _apply_snapshot(self, everything: ports.StoreSnapshot,
-                        heard: bool) -> None:
+    def _apply_snapshot(self, snapshot: ports.StoreSnapshot,
+                        from_peer: bool) -> None:
         owned, now = self._owned, self._clock.now()
         if (owned.store_snapshot and
-                everything.revision < owned.store_snapshot.revision):
+                snapshot.revision < owned.store_snapshot.revision):
             return
-        if owned.store_lost_at and not heard:
+        if owned.store_lost_at and not from_peer:
             self._logger.info('store_regained',
                               away_ms=round(now - owned.store_lost_at),
                               revision=revisions.format_revision(
-                                  everything.revision))
+                                  snapshot.revision))
             owned.store_lost_at, owned.store_regained_at = 0.0, now
         before = owned.store_snapshot
-        listed = self._exclude_unconfigured(_keep_newer(before, everything))
+        listed = self._exclude_unconfigured(_keep_newer(before, snapshot))
         restored = before is not None and _is_restored(before, listed)
         if restored:
             lifetimes.mark_unconfirmed(owned, listed, now)
-        everything = lifetimes.exclude_unconfirmed(owned, listed)
-        self._listed, owned.store_snapshot = listed, everything
+        snapshot = lifetimes.exclude_unconfirmed(owned, listed)
+        self._listed, owned.store_snapshot = listed, snapshot
         if restored:
             self._handle_restore(before)
-        self._apply_servers(everything, now)
-        savedsuspects.merge_stored(self._context, before, everything)
-        self._log_servers(before, everything, heard)
-        configuration = everything.configuration
+        self._apply_servers(snapshot, now)
+        savedsuspects.merge_stored(self._context, before, snapshot)
+        self._log_servers(before, snapshot, from_peer)
+        configuration = snapshot.configuration
         if configuration is not None and (before is None or before.configuration
                                           is not configuration):
             self._logger.info('configuration_applied',
                               version=configuration.version,
                               revision=revisions.format_revision(
-                                  everything.revision))
+                                  snapshot.revision))
             self._forwarder.route_index = matching.make_index(
                 configuration.routes)
             for name in configuration.list_keyed():
@@ -313,31 +317,31 @@
         self._publish()
 
     def _handle_restore(self, before: ports.StoreSnapshot) -> None:
-        """Keeps or writes again what a restored store may have lost."""
+        """Preserves or rewrites what the restored store may have lost."""
         owned = self._owned
         elections.keep_assignments(owned, before)
         leases.drop_lost(owned)
 
-    def _apply_servers(self, everything: ports.StoreSnapshot,
-                       now: float) -> None:
+    def _apply_servers(self, snapshot: ports.StoreSnapshot, now: float) -> None:
         owned = self._owned
         ended_before = set(owned.ended_servers)
-        lifetimes.mark_replaced(owned, everything)
+        lifetimes.mark_replaced(owned, snapshot)
         for name in (owned.ended_servers - ended_before) & owned.servers.keys():
             suspects.note_process_replaced(self._forwarder, owned.servers[name])
-        for name in lifetimes.reinstate_listed_alone(owned, everything):
+        for name in lifetimes.reinstate_listed_alone(owned, snapshot):
             self._logger.info('server_up_after_all', server=name)
         known_at = self._find_known_time(now)
-        for name, server in everything.servers.items():
+        for name, server in snapshot.servers.items():
             owned.servers[name] = self._mark_draining(
                 add_draining_time(server, owned.servers.get(name), known_at))
             owned.removal_times.pop(name, None)
-        # Entries run out while a store is away that nobody has found silent
-        # yet: its news come before it is known to be back.
+        # Server records expire while the store is unavailable. Their removal
+        # may be received before the outage has been detected, so an unanswered
+        # renewal counts as an outage that ends now.
         back_at = (now
                    if owned.is_renewal_unanswered else owned.store_regained_at)
         for name in owned.servers:
-            if (name not in everything.servers and
+            if (name not in snapshot.servers and
                     name not in owned.removal_times):
                 suspects.note_unlisted(self._forwarder, owned.servers[name])
                 owned.removal_times[name] = max(
@@ -346,9 +350,9 @@
                                                           unlisted_at=known_at)
 
     def _find_known_time(self, now: float) -> float:
-        """Returns when what is taken in now may first have been acknowledged.
+        """Returns when a change received now may first have been acknowledged.
 
-        That isn't while the store was away from everybody.
+        The store acknowledges no change while it is unavailable to all entries.
         """
         forwarder = self._forwarder
         freshness = forwarder.freshness
@@ -358,7 +362,7 @@
         return staleness.find_applied_times(freshness).servers_at
 
     def _record_draining(self, servers: list[str]) -> None:
-        """Marks servers as draining that an entry reported as such."""
+        """Marks servers as draining that an entry reported as draining."""
         owned = self._owned
         newly_draining = [
             name for name in servers
@@ -384,23 +388,24 @@
                                    draining_at=draining_at)
 
     def _log_servers(self, before: ports.StoreSnapshot | None,
-                     everything: ports.StoreSnapshot, heard: bool) -> None:
-        """Tells of servers that changed.
+                     snapshot: ports.StoreSnapshot, from_peer: bool) -> None:
+        """Logs servers that changed.
 
-        Each is told by who read the store; the others name them in one line,
-        or the lines would grow with entries times servers.
+        The entry that read the store writes a line for each; the others list
+        them in one line. Otherwise the number of lines would grow with entries
+        times servers.
         """
         known = before.servers if before else {}
         changed = [
-            server for name, server in everything.servers.items()
+            server for name, server in snapshot.servers.items()
             if known.get(name) is not server
         ]
         if not before:
             self._logger.info('servers_known',
                               servers=len(changed),
                               revision=revisions.format_revision(
-                                  everything.revision))
-        elif heard and changed:
+                                  snapshot.revision))
+        elif from_peer and changed:
             self._logger.info(
                 'servers_heard',
                 servers=len(changed),
@@ -408,7 +413,7 @@
                     item for item in changed if item.draining),
                 ready=_list_first_ids(
                     item for item in changed if not item.draining),
-                revision=revisions.format_revision(everything.revision))
+                revision=revisions.format_revision(snapshot.revision))
         else:
             for server in changed:
                 self._logger.info('server_seen',
@@ -417,14 +422,14 @@
                                   address=server.address,
                                   draining=server.draining,
                                   revision=revisions.format_revision(
-                                      everything.revision))
+                                      snapshot.revision))
 
     def _exclude_unconfigured(
             self, found: ports.StoreSnapshot) -> ports.StoreSnapshot:
-        """Leaves out entries of servers whose service nobody configured.
+        """Excludes servers whose service is not configured.
 
-        Such an entry may name the address of a server that is up, and must not
-        prove that one's end.
+        Such a record may have the address of a running server, which must not
+        be considered replaced because of it.
         """
         services = found.configuration.services if found.configuration else {}
         kept = {}
@@ -439,37 +444,39 @@
         return dataclasses.replace(found, servers=kept)
 
     def _include_confirmed(self, now: float) -> None:
-        """Takes in servers that a restored store has listed long enough."""
-        proven = lifetimes.confirm_returned(self._owned, now)
-        if proven:
+        """Includes servers that a restored store has listed long enough."""
+        confirmed = lifetimes.confirm_returned(self._owned, now)
+        if confirmed:
             self._logger.info('servers_returned',
-                              servers=proven[:MAX_LOGGED_SERVERS])
+                              servers=confirmed[:MAX_LOGGED_SERVERS])
             self._apply_snapshot(self._listed, True)
 
     def _expire_servers(self, now: float) -> None:
         owned = self._owned
-        gone = [name for name, at in owned.removal_times.items() if at <= now]
-        if not gone or owned.store_lost_at:
+        expired = [
+            name for name, at in owned.removal_times.items() if at <= now
+        ]
+        if not expired or owned.store_lost_at:
             return
-        for name in gone:
+        for name in expired:
             del owned.removal_times[name]
             owned.draining_since.pop(name, None)
             owned.departed_servers[name] = owned.servers.pop(name)
         self._logger.info('servers_gone',
-                          count=len(gone),
-                          servers=gone[:MAX_LOGGED_SERVERS])
+                          count=len(expired),
+                          servers=expired[:MAX_LOGGED_SERVERS])
         self._publish()
-        self._remove_servers(gone)
+        self._remove_servers(expired)
 
-    def _remove_servers(self, gone: list[str]) -> None:
-        """Drops what request threads keep of servers that left."""
+    def _remove_servers(self, expired: list[str]) -> None:
+        """Removes the state that request threads keep of departed servers."""
         forwarder = self._forwarder
         with forwarder.lock:
-            pools = [forwarder.pools.pop(name, None) for name in gone]
-            for name in gone:
+            pools = [forwarder.pools.pop(name, None) for name in expired]
+            for name in expired:
                 forwarder.server_states.pop(name, None)
-        ratelimits.remove_servers(forwarder.rate_limits, gone)
-        permits.remove_servers(forwarder.permit_table, gone)
+        ratelimits.remove_servers(forwarder.rate_limits, expired)
+        permits.remove_servers(forwarder.permit_table, expired)
         for pool in filter(None, pools):
             pool.close()
 
@@ -481,27 +488,27 @@
 
     def _publish(self) -> None:
         owned = self._owned
-        everything = owned.store_snapshot
+        snapshot = owned.store_snapshot
         servers: dict[str, dict[str, tables.Server]] = {}
         for server in owned.servers.values():
             if server.id not in owned.ended_servers:
                 servers.setdefault(server.service, {})[server.id] = server
         assignments = {
             name: saved.assignment
-            for name, saved in everything.assignments.items()
+            for name, saved in snapshot.assignments.items()
         }
-        for name, heard in owned.peer_assignments.items():
+        for name, received in owned.peer_assignments.items():
             known = assignments.get(name)
-            if known is None or keyranges.is_newer(heard, known):
-                assignments[name] = heard
+            if known is None or keyranges.is_newer(received, known):
+                assignments[name] = received
         for name, role in owned.roles.items():
             if role.coordination_state is not None:
                 assignments[name] = role.coordination_state.assignment
         forwarder = self._forwarder
         with forwarder.changed:
             forwarder.snapshot = tables.RoutingSnapshot(
-                everything.configuration, servers, assignments,
-                dict(everything.coordinators), dict(everything.entries))
+                snapshot.configuration, servers, assignments,
+                dict(snapshot.coordinators), dict(snapshot.entries))
             forwarder.changed.notify_all()
 
     def _add_samples(self, found: dict[str,
@@ -514,12 +521,12 @@
 
 def add_draining_time(server: tables.Server, known: tables.Server | None,
                       known_at: float) -> tables.Server:
-    """Returns a server with the time from which on it may be draining.
+    """Returns the server with the earliest time it may have begun to drain.
 
     Args:
-      server: As the store lists it.
-      known: As it was known before; None if it wasn't.
-      known_at: Up to when it was known whether it is.
+      server: The server as the store lists it.
+      known: The server as it was known before; None if it is new.
+      known_at: Latest time for which the draining state is known, ms.
     """
     if not server.draining:
         return server
@@ -542,14 +549,14 @@
 
 
 def find_step_interval(servers: int) -> float:
-    """Returns the pause between two steps of the actor, ms."""
+    """Returns the interval between two steps of the actor, ms."""
     return min(TICK_INTERVAL_MS,
                max(MIN_STEP_INTERVAL_MS, STEP_INTERVAL_PER_SERVER_MS * servers))
 
 
 def _keep_newer(before: ports.StoreSnapshot | None,
                 found: ports.StoreSnapshot) -> ports.StoreSnapshot:
-    """Returns what was found, with the newer of both configurations."""
+    """Returns the found snapshot with the newer of both configurations."""
     known = before.configuration if before is not None else None
     if known is None or (found.configuration is not None and
                          found.configuration.version >= known.version):
--- a/lentilmoor/edge/departures.py
+++ b/lentilmoor/edge/departures.py
@@ -1,8 +1,8 @@
-"""Which requests an entry still sends once it has been asked to end.
+"""Decides which requests an entry still sends during its shutdown.
 
-Callers can go to another entry if they are told at once; a request that the end
-of the process interrupts may have run, and nobody knows. So a request is sent
-only if its answer is due before that end.
+A caller whose request is refused at once can use another entry, whereas the
+outcome of a request that is interrupted by the end of the process is unknown.
+So a request is sent only if its answer is expected before that end.
 """
 
 import dataclasses
@@ -10,33 +10,34 @@
 
 from lentilmoor import outcomes
 
-# The balancer needs so long to send new callers elsewhere. Requests that arrive
-# later are refused.
+# Time until the load balancer sends new callers to other entries. Requests that
+# arrive later are refused.
 BALANCER_DELAY_MS = 3_000.0
-# Requests under way are given up so long before SIGKILL.
+# Requests in flight are aborted this long before SIGKILL.
 KILL_MARGIN_MS = 400.0
-# A process that hasn't checked for SIGTERM for longer may be about to end.
+# If the last check for SIGTERM is older, the signal may have been sent.
 MAX_CHECK_AGE_MS = 1_000.0
-# Times of work vary as much as their mean: one in twenty takes so many times as
-# long as expected.
+# The standard deviation of processing times is as large as their mean: one
+# request in twenty takes longer than expected by this factor.
 SLOW_ANSWER_FACTOR = 3.0
-# Time to come back, at another entry.
+# When callers may retry at another entry, ms.
 RETRY_AFTER_MS = 60
 
 
 @dataclasses.dataclass(slots=True)
 class Departure:
-    """When this process ends.
+    """Deadlines of the shutdown of this process.
 
-    SIGTERM may be noticed long after it was sent, and the grace period runs
-    meanwhile. So all times are counted from when it had surely not been sent.
+    SIGTERM may be received long after it was sent, while the grace period is
+    already running. So all times are relative to the latest time at which it
+    had certainly not been sent.
 
     Attributes:
-      sigterm_received: Whether SIGTERM has been noticed.
-      checked_at: It had surely not been sent by then, ms.
+      sigterm_received: Whether SIGTERM has been received.
+      checked_at: Latest time by which SIGTERM had certainly not been sent, ms.
       last_arrival_at: Requests that arrive later are refused, ms.
-      ends_at: When requests under way are given up if SIGTERM came right after
-        `checked_at`, ms.
+      ends_at: When requests in flight are aborted if SIGTERM was sent right
+        after `checked_at`, ms.
     """
 
     sigterm_received: bool = False
@@ -47,12 +48,12 @@
 
 def record_sigterm_absent(departure: Departure, grace_ms: float,
                           checked_at: float) -> None:
-    """Notes that nobody had asked the process to end by a time.
+    """Records that SIGTERM had not been sent by a time.
 
     Args:
-      departure: What is changed.
-      grace_ms: From SIGTERM to SIGKILL.
-      checked_at: SIGTERM had not been sent by then, ms.
+      departure: The deadlines; updated.
+      grace_ms: Time from SIGTERM to SIGKILL.
+      checked_at: Time by which SIGTERM had not been sent, ms.
     """
     departure.checked_at = checked_at
     departure.ends_at = checked_at + max(0.0, grace_ms - KILL_MARGIN_MS)
@@ -61,7 +62,7 @@
 
 
 def find_deadline(departure: Departure, now: float) -> float:
-    """Returns when requests have to be over, ms; inf if the process stays."""
+    """Returns the deadline of all requests, ms; inf without a shutdown."""
     if (not departure.sigterm_received and
             now - departure.checked_at <= MAX_CHECK_AGE_MS):
         return math.inf
@@ -76,26 +77,29 @@
     return _refuse()
 
 
-def refuse_late_send(departure: Departure, until: float, repeatable: bool,
+def refuse_late_send(departure: Departure, deadline_at: float, idempotent: bool,
                      expected_ms: float, now: float) -> outcomes.NotRun | None:
-    """Returns the refusal of a request that can't be answered in time, or None.
+    """Returns the refusal of a request that may not be answered in time.
 
     Args:
-      departure: When the process ends.
-      until: When the request is given up, ms.
-      repeatable: Whether it may be run more than once. Its caller may then send
-        it again if it is interrupted after all.
-      expected_ms: Expected time to its answer.
-      now: ms.
+      departure: The deadlines of the shutdown.
+      deadline_at: When the request times out, ms.
+      idempotent: Whether it may be run more than once. Its caller may then
+        retry if it is interrupted after all.
+      expected_ms: Expected time until its answer.
+      now: Current time, ms.
+
+    Returns:
+      The refusal, or None if the request may be sent.
     """
     ends_at = find_deadline(departure, now)
-    if until <= ends_at:
+    if deadline_at <= ends_at:
         return None
-    if repeatable and now + SLOW_ANSWER_FACTOR * expected_ms <= ends_at:
+    if idempotent and now + SLOW_ANSWER_FACTOR * expected_ms <= ends_at:
         return None
     return _refuse()
 
 
 def _refuse() -> outcomes.NotRun:
     return outcomes.NotRun(outcomes.Reason.SHUTTING_DOWN,
-                           'this entry is about to end', RETRY_AFTER_MS)
+                           'this entry is shutting down', RETRY_AFTER_MS)
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -38,28 +38,28 @@
 from lentilmoor.edge import tables
 
 # Requests answered at once, at first and at most; each waits for one server.
-CALLER_THREADS = (16, 64)
-PAGE_THREADS = (2, 2)
+CALLER_THREAD_LIMITS = (16, 64)
+PAGE_THREAD_LIMITS = (2, 2)
 # Other entries answered at once, and how long a reply is written at most. Who
 # doesn't take it holds a thread, and must not keep the hub's news from all
 # others. A report is given up by who sent it after some 1 s. Requests for news
 # wait in these threads too.
-PEER_THREADS = (8, 16 + storecopy.MAX_WAITING_REQUESTS)
-REPLY_WRITE_MS = 1_000.0
+PEER_THREAD_LIMITS = (8, 16 + storecopy.MAX_WAITING_REQUESTS)
+REPLY_WRITE_TIMEOUT_MS = 1_000.0
 # Kept open to another entry: one for reports, one for news.
-PEER_CONNECTIONS = 2
+MAX_PEER_CONNECTIONS = 2
 # After SIGTERM: the balancer asks once a second and needs two misses, so new
 # connections may come for so long.
-NOTICE_MS = 3_100.0
+BALANCER_NOTICE_MS = 3_100.0
 # For the answers to requests that are given up because this process ends.
-LAST_ANSWERS_MS = 150.0
+FINAL_ANSWERS_MS = 150.0
 # What the process is asked by: to end, and to read its settings again.
 SIGNALS = (signal.SIGTERM, signal.SIGHUP)
 READY_PATH = '/-/readyz'
 METRICS_PATH = '/metrics'
 # A page that took longer to write held a thread: who asked doesn't read.
 SLOW_WRITE_MS = 100.0
-_LOOK_MS = 50.0
+_POLL_INTERVAL_MS = 50.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -85,15 +85,16 @@
     clock: clocks.Clock
     logger: logs.Logger
     forwarder: requests.Forwarder
-    count: shutdowns.RequestCount
-    measures: requestmetrics.RequestMetrics
+    request_count: shutdowns.RequestCount
+    metrics: requestmetrics.RequestMetrics
     actor: pykka.ActorRef | None = None
     reporter: reporting.Reporter | None = None
     listeners: list[listening.Listener] = dataclasses.field(
         default_factory=list)
     follower: storecopy.StoreFollower | None = None
-    pace: controlstate.ActorTiming | None = None
-    hurry: threading.Event = dataclasses.field(default_factory=threading.Event)
+    timing: controlstate.ActorTiming | None = None
+    tick_requested: threading.Event = dataclasses.field(
+        default_factory=threading.Event)
 
 
 def run(platform: ports.Platform, instance: str, clock: clocks.Clock,
@@ -124,7 +125,7 @@
         _start(listener.serve)
     _serve_metrics(entry)
     following.restart_following(entry.follower)
-    _start(functools.partial(_tick, entry))
+    _start(functools.partial(_tick_forever, entry))
     _start(functools.partial(reporting.report_forever, entry.reporter))
     _start(functools.partial(subscriptions.request_news_forever,
                              entry.follower))
@@ -133,7 +134,7 @@
     arrived = signals.watch(*SIGNALS)
     while signals.receive(arrived, clock, note_running) != signal.SIGTERM:
         logger.info('reload_asked')
-    _finish(entry)
+    _shut_down(entry)
     logger.info('entry_stopped')
 
 
@@ -165,21 +166,22 @@
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
                   requestmetrics.RequestMetrics(clock))
     owned = controlstate.ControlState(instance)
-    entry.pace = owned.timing
+    entry.timing = owned.timing
     entry.actor = control.Control.start(
         owned,
         forwarder,
         platform,
         logger,
         lambda: following.restart_following(entry.follower),
-        request_tick=entry.hurry.set)
+        request_tick=entry.tick_requested.set)
     entry.reporter = reporting.Reporter(
         instance, forwarder,
-        httpcalls.Caller(clock, PEER_CONNECTIONS, socket_options),
+        httpcalls.Caller(clock, MAX_PEER_CONNECTIONS, socket_options),
         entry.actor.tell)
     entry.follower = storecopy.StoreFollower(
-        ports.make_peer(instance, platform.settings), entry.reporter,
-        platform.store, clock, logger, functools.partial(_take_store, entry),
+        ports.make_peer(instance, platform.settings),
+        entry.reporter, platform.store, clock, logger,
+        functools.partial(_apply_snapshot, entry),
         lambda reason: entry.actor.tell(control.StoreLost(reason)))
     entry.follower.probe = lambda: entry.actor.tell(control.RenewEntryLease())
     platform.store.on_restore(
@@ -192,30 +194,34 @@
         listening.make_caller_gateway(
             platform.header_format,
             functools.partial(forwarding.forward, forwarder),
-            functools.partial(_note, entry), entry.count,
-            lambda: _find_limits(entry).max_body_bytes, clock), CALLER_THREADS,
-        log_error)
+            functools.partial(_record_outcome, entry), entry.request_count,
+            lambda: _find_caller_limits(entry).max_body_bytes, clock),
+        CALLER_THREAD_LIMITS, log_error)
     ready = listening.make_listener(
         platform.settings.ready,
         listening.make_page_gateway(
-            {READY_PATH: functools.partial(_show_ready, entry)}, clock),
-        PAGE_THREADS, log_error)
+            {READY_PATH: functools.partial(_render_readiness, entry)}, clock),
+        PAGE_THREAD_LIMITS, log_error)
     peers = listening.make_listener(
         platform.settings.control,
         listening.make_page_gateway(
             {
-                reporting.PATH: functools.partial(_take_report, entry),
-                reporting.STATE_PATH: functools.partial(_show_state, entry),
-                subscriptions.PATH: functools.partial(_tell_news, entry),
-                permits.PATH: functools.partial(_issue_permit, entry),
-            }, clock, functools.partial(_note_write, logger), REPLY_WRITE_MS),
-        PEER_THREADS, log_error)
+                reporting.PATH:
+                    functools.partial(_handle_report, entry),
+                reporting.STATE_PATH:
+                    functools.partial(_render_state, entry),
+                subscriptions.PATH:
+                    functools.partial(_answer_news_request, entry),
+                permits.PATH:
+                    functools.partial(_issue_permit, entry),
+            }, clock, functools.partial(_log_slow_write, logger),
+            REPLY_WRITE_TIMEOUT_MS), PEER_THREAD_LIMITS, log_error)
     entry.listeners = [callers, ready, peers]
     return entry
 
 
-def _note_write(logger: logs.Logger, peer: str, size: int,
-                took_ms: float) -> None:
+def _log_slow_write(logger: logs.Logger, peer: str, size: int,
+                    took_ms: float) -> None:
     """Tells of a peer that takes its reply slowly, and so holds a thread."""
     if took_ms >= SLOW_WRITE_MS:
         logger.info('reply_held',
@@ -230,7 +236,7 @@
     listener = listening.make_listener(
         address,
         listening.make_page_gateway(
-            {METRICS_PATH: functools.partial(_show_metrics, entry)},
+            {METRICS_PATH: functools.partial(_render_metrics, entry)},
             entry.clock), (1, 1), listening.make_error_log(entry.logger))
     try:
         listener.prepare()
@@ -242,11 +248,11 @@
     _start(listener.serve)
 
 
-def _show_metrics(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
+def _render_metrics(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
     snapshot = entry.forwarder.snapshot
     gauges = {
         'inside':
-            float(entry.count.in_flight),
+            float(entry.request_count.in_flight),
         'servers':
             float(sum(len(rows) for rows in snapshot.servers.values())),
         'entries':
@@ -283,33 +289,33 @@
             requests.find_age(entry.forwarder,
                               entry.forwarder.departure.checked_at),
         'control_late_ms':
-            entry.pace.tick_delay_ms,
+            entry.timing.tick_delay_ms,
         'control_steps':
-            float(entry.pace.steps),
+            float(entry.timing.steps),
         'control_step_ms':
-            entry.pace.step_ms,
+            entry.timing.step_ms,
     }
     calls = entry.platform.store.count_calls()
     gauges |= {f'store_calls_{kind}': float(calls[kind]) for kind in calls}
-    return 200, entry.measures.render(gauges), 'text/plain; version=0.0.4'
+    return 200, entry.metrics.render(gauges), 'text/plain; version=0.0.4'
 
 
-def _find_limits(entry: Entry) -> tables.CallerLimits:
+def _find_caller_limits(entry: Entry) -> tables.CallerLimits:
     configuration = entry.forwarder.snapshot.configuration
     if configuration is None:
         return tables.CallerLimits()
     return configuration.limits
 
 
-def _note(entry: Entry, request: requests.Request,
-          outcome: requests.Outcome) -> None:
+def _record_outcome(entry: Entry, request: requests.Request,
+                    outcome: requests.Outcome) -> None:
     """Writes a line for a request that no server answered."""
     age_ms = round(entry.clock.now() - request.arrived_at)
     if isinstance(outcome, tries.Answer):
-        entry.measures.record('answered', str(outcome.status), age_ms)
+        entry.metrics.record('answered', str(outcome.status), age_ms)
         return
     if isinstance(outcome, exchange.Gone):
-        entry.measures.record('left', 'caller-left', age_ms)
+        entry.metrics.record('left', 'caller-left', age_ms)
         entry.logger.info('caller_left',
                           request=request.fields.request_id,
                           where=outcome.where,
@@ -317,8 +323,8 @@
                           age_ms=age_ms)
         return
     refused = isinstance(outcome, outcomes.NotRun)
-    entry.measures.record('not-run' if refused else 'unknown',
-                          outcome.reason.value, age_ms)
+    entry.metrics.record('not-run' if refused else 'unknown',
+                         outcome.reason.value, age_ms)
     entry.logger.info('request_refused' if refused else 'request_failed',
                       request=request.fields.request_id,
                       reason=outcome.reason.value,
@@ -327,7 +333,8 @@
                       age_ms=age_ms)
 
 
-def _show_ready(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
+def _render_readiness(entry: Entry,
+                      unused_body: bytes) -> tuple[int, bytes, str]:
     snapshot = entry.forwarder.snapshot
     ready = (snapshot.configuration is not None and
              not entry.forwarder.departure.sigterm_received and
@@ -338,7 +345,7 @@
     return (200 if ready else 503), b'', 'text/plain'
 
 
-def _show_state(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
+def _render_state(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
     """Tells an entry that can't reach the store what has changed."""
     if body and not body.isdigit():
         return 400, b'', 'text/plain'
@@ -346,7 +353,7 @@
     return 200, dump, 'application/octet-stream'
 
 
-def _tell_news(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
+def _answer_news_request(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
     asked = reports.decode_news_request(body)
     if asked is None:
         return 400, b'', 'text/plain'
@@ -356,7 +363,7 @@
     return 200, reports.encode_news(reply), 'application/json'
 
 
-def _take_report(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
+def _handle_report(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
     report = reports.decode_report(body)
     if report is None:
         return 400, b'', 'text/plain'
@@ -373,7 +380,8 @@
     return 200, reports.encode_permit(reply), 'application/json'
 
 
-def _take_store(entry: Entry, found: ports.StoreSnapshot, heard: bool) -> None:
+def _apply_snapshot(entry: Entry, found: ports.StoreSnapshot,
+                    heard: bool) -> None:
     number = staleness.add_pending_change(entry.forwarder.freshness)
     entry.actor.tell(control.StoreUpdate(found, heard, number))
     if found.configuration is None:
@@ -385,49 +393,51 @@
     callers.max_request_header_size = limits.max_header_bytes
 
 
-def _tick(entry: Entry) -> None:
+def _tick_forever(entry: Entry) -> None:
     while True:
-        if entry.hurry.wait(control.TICK_INTERVAL_MS / clocks.MS_PER_S):
-            clocks.pause(entry.pace.pause_ms)
-            entry.hurry.clear()
+        if entry.tick_requested.wait(control.TICK_INTERVAL_MS /
+                                     clocks.MS_PER_S):
+            clocks.pause(entry.timing.pause_ms)
+            entry.tick_requested.clear()
         entry.actor.tell(control.Tick(entry.clock.now()))
         following.restart_if_silent(entry.follower)
         subscriptions.ask_random_peers(entry.follower)
 
 
-def _finish(entry: Entry) -> None:
+def _shut_down(entry: Entry) -> None:
     """Ends without interrupting a request."""
     noticed_at = entry.clock.now()
     departure = entry.forwarder.departure
     departure.sigterm_received = True
     entry.logger.info('entry_leaving',
-                      inside=entry.count.in_flight,
+                      inside=entry.request_count.in_flight,
                       late_ms=round(noticed_at - departure.checked_at),
-                      left_ms=round(_find_left(entry, departure.ends_at)))
+                      left_ms=round(_find_remaining(entry, departure.ends_at)))
     handed_over = threading.Event()
     entry.actor.tell(control.PrepareShutdown(handed_over))
-    entry.count.close_connections = True
-    while entry.clock.now() < min(noticed_at + NOTICE_MS, departure.ends_at):
-        clocks.pause(_LOOK_MS)
+    entry.request_count.close_connections = True
+    while entry.clock.now() < min(noticed_at + BALANCER_NOTICE_MS,
+                                  departure.ends_at):
+        clocks.pause(_POLL_INTERVAL_MS)
     # Takes no new connections, closes idle ones and waits for the others. The
     # library would measure a time-out by the time of day, which may jump.
     callers = entry.listeners[0]
     callers.shutdown_timeout = None
     stopping = threading.Thread(target=callers.stop, daemon=True)
     stopping.start()
-    stopping.join(_find_left(entry, departure.ends_at) / clocks.MS_PER_S)
+    stopping.join(_find_remaining(entry, departure.ends_at) / clocks.MS_PER_S)
     # While the store is away nobody else can renew the servers' grants, so this
     # goes on for as long as the process may live.
     grace_ms = entry.platform.settings.bounds.grace_ms
     latest_end_at = noticed_at + grace_ms - departures.KILL_MARGIN_MS
-    handed_over.wait(_find_left(entry, latest_end_at) / clocks.MS_PER_S)
+    handed_over.wait(_find_remaining(entry, latest_end_at) / clocks.MS_PER_S)
     _log_interrupted(entry)
-    entry.logger.info('entry_finished', inside=entry.count.in_flight)
+    entry.logger.info('entry_finished', inside=entry.request_count.in_flight)
 
 
-def _find_left(entry: Entry, ends_at: float) -> float:
+def _find_remaining(entry: Entry, ends_at: float) -> float:
     """Returns the time until the last answers have been written, ms."""
-    return max(0.0, ends_at + LAST_ANSWERS_MS - entry.clock.now())
+    return max(0.0, ends_at + FINAL_ANSWERS_MS - entry.clock.now())
 
 
 def _log_interrupted(entry: Entry) -> None:
