--- a/lentilmoor/edge/lifetimes.py
+++ b/lentilmoor/edge/lifetimes.py
@@ -1,8 +1,8 @@
-"""Which servers' processes have ended, as far as the list of servers tells.
+"""Infers from the store's list of servers which processes have ended.
 
-Entries may be written late, by processes that ended long ago or that nobody
-here ever knew; not all servers tell when they started. A restore of the store
-brings back entries of servers that have left.
+Server records may be written late, by processes that ended long ago or that
+this entry never knew, and not all servers report their start time. A restore of
+the store brings back the records of departed servers.
 """
 
 import collections
@@ -12,24 +12,24 @@
 from lentilmoor.edge import ports
 from lentilmoor.edge import tables
 
-# Entries of servers that are silent have run out by then.
+# Records that their servers no longer renew have expired after this time.
 CONFIRMATION_MS = 4_000.0
 
 
 def mark_replaced(owned: controlstate.ControlState,
-                  everything: ports.StoreSnapshot) -> None:
-    """Notes whose processes have ended, as others are in their place.
+                  snapshot: ports.StoreSnapshot) -> None:
+    """Marks servers as ended that new servers have replaced.
 
-    An entry that comes back after its process has ended was written late, and
-    proves nothing. Of two that are new at once and don't tell when they
-    started, nobody knows which is older.
+    A record that reappears after its process has ended was written late and
+    replaces no server. If two servers without start times are new in the same
+    snapshot, it is unknown which is older, so neither replaces the other.
 
     Args:
-      owned: What is believed, before the list is taken in.
-      everything: The list.
+      owned: The control state, before the snapshot is applied.
+      snapshot: The new content of the store.
     """
     new = [
-        server for name, server in everything.servers.items()
+        server for name, server in snapshot.servers.items()
         if name not in owned.servers and name not in owned.ended_servers
     ]
     if not new:
@@ -42,65 +42,64 @@
 
 
 def reinstate_listed_alone(owned: controlstate.ControlState,
-                           everything: ports.StoreSnapshot) -> list[str]:
-    """Takes servers for up that are listed alone at their address.
+                           snapshot: ports.StoreSnapshot) -> list[str]:
+    """Reinstates ended servers that are the only ones at their address.
 
-    Only those that don't tell when they started: a late entry, of a process
-    that nobody here knew, may have ended them.
+    This applies only to servers without a start time: they may have been marked
+    as ended because of the late record of a process unknown to this entry.
 
     Returns:
-      Their ids.
+      The ids of the reinstated servers.
     """
-    ended = owned.ended_servers & everything.servers.keys()
+    ended = owned.ended_servers & snapshot.servers.keys()
     if not ended:
         return []
     listed = collections.Counter(
-        server.address for server in everything.servers.values())
-    found = []
+        server.address for server in snapshot.servers.values())
+    reinstated = []
     for name in ended:
-        server = everything.servers[name]
+        server = snapshot.servers[name]
         if server.started_at is None and listed[server.address] == 1:
             owned.ended_servers.discard(name)
-            found.append(name)
-    return found
+            reinstated.append(name)
+    return reinstated
 
 
 def mark_unconfirmed(owned: controlstate.ControlState,
-                     everything: ports.StoreSnapshot, now: float) -> None:
-    """Notes which servers had left and are listed again by a restored store.
+                     snapshot: ports.StoreSnapshot, now: float) -> None:
+    """Marks departed servers that a restored store lists again.
 
     Args:
-      owned: What is believed, before the list is taken in.
-      everything: The list after the restore.
-      now: ms.
+      owned: The control state, before the snapshot is applied.
+      snapshot: The content of the store after the restore.
+      now: Current time, ms.
     """
-    for name in everything.servers:
+    for name in snapshot.servers:
         if (name in owned.departed_servers or name in owned.removal_times or
                 name in owned.ended_servers):
             owned.unconfirmed_servers[name] = now + CONFIRMATION_MS
 
 
 def exclude_unconfirmed(owned: controlstate.ControlState,
-                        everything: ports.StoreSnapshot) -> ports.StoreSnapshot:
-    """Leaves out servers whose entry may be that of a process that has left."""
+                        snapshot: ports.StoreSnapshot) -> ports.StoreSnapshot:
+    """Returns the snapshot without servers whose process may have ended."""
     if not owned.unconfirmed_servers:
-        return everything
-    for name in owned.unconfirmed_servers.keys() - everything.servers.keys():
+        return snapshot
+    for name in owned.unconfirmed_servers.keys() - snapshot.servers.keys():
         del owned.unconfirmed_servers[name]
-    return dataclasses.replace(
-        everything,
-        servers={
-            name: server
-            for name, server in everything.servers.items()
-            if name not in owned.unconfirmed_servers
-        })
+    return dataclasses.replace(snapshot,
+                               servers={
+                                   name: server
+                                   for name, server in snapshot.servers.items()
+                                   if name not in owned.unconfirmed_servers
+                               })
 
 
 def confirm_returned(owned: controlstate.ControlState, now: float) -> list[str]:
-    """Returns servers that are still listed and count as up from now on."""
-    proven = [
+    """Returns unconfirmed servers that are still listed, as confirmed now."""
+    confirmed = [
         name for name, at in owned.unconfirmed_servers.items() if at <= now
     ]
-    for name in proven:
+    for name in confirmed:
         del owned.unconfirmed_servers[name]
-    return proven
+    return confirmed
--- a/tests/test_edge_servers.py
+++ b/tests/test_edge_servers.py
@@ -1,4 +1,4 @@
-"""Tests of which servers an entry takes for up, and which for ended."""
+"""Tests which servers an entry considers running and which ended."""
 
 import io
 import unittest
@@ -14,15 +14,15 @@
 
 
 class SharedAddressTest(unittest.TestCase):
-    """Two processes at one address are listed, and none tells its start."""
+    """Two processes without start times are listed at the same address."""
 
     def setUp(self):
         super().setUp()
         self.owned = controlstate.ControlState('e1')
         self.revision = 0
 
-    def _see(self, *names: str) -> None:
-        """Has an entry see a list of servers, all at one address."""
+    def _apply(self, *names: str) -> None:
+        """Applies a list of servers, all at the same address, to an entry."""
         forwarder = requests.Forwarder(
             clocks.ManualTime(10_000.0).clock(), mock.Mock(),
             logs.make_logger('e1', io.StringIO()), None)
@@ -45,22 +45,22 @@
                 ports.StoreSnapshot(configuration, servers, {}, {}, {},
                                     self.revision)))
 
-    def test_no_process_is_ended_by_the_order_of_ids_at_the_first_look(self):
+    def test_first_read_marks_no_process_as_ended_by_order_of_ids(self):
         for names in (('i-1', 'i-2'), ('i-2', 'i-1')):
             self.setUp()
-            self._see(*names)
+            self._apply(*names)
             self.assertEqual(self.owned.ended_servers, set())
 
-    def test_one_that_comes_later_ends_the_one_before(self):
-        self._see('i-old')
-        self._see('i-old', 'i-new')
+    def test_later_process_marks_the_earlier_one_as_ended(self):
+        self._apply('i-old')
+        self._apply('i-old', 'i-new')
         self.assertEqual(self.owned.ended_servers, {'i-old'})
 
-    def test_one_that_goes_on_writing_is_not_ended_for_good(self):
-        self._see('i-up')
-        self._see('i-up', 'i-late')
+    def test_process_listed_alone_again_is_reinstated(self):
+        self._apply('i-up')
+        self._apply('i-up', 'i-late')
         self.assertEqual(self.owned.ended_servers, {'i-up'})
-        self._see('i-up')
+        self._apply('i-up')
         self.assertEqual(self.owned.ended_servers, set())
 
 
