--- a/lentilmoor/logs.py
+++ b/lentilmoor/logs.py
@@ -1,7 +1,6 @@
-"""Logs: JSON lines by structlog, written only when a state changes.
+"""Logging: JSON lines by structlog, written only when a state changes.
 
-Rates and times are counters and histograms (see `metrics`); a line is for
-something that was one thing and is now another.
+Rates and durations are recorded as metrics (see `metrics`) instead.
 """
 
 from collections.abc import Callable
@@ -14,18 +13,18 @@
 
 import structlog
 
-_MAX_SUBJECTS = 10_000
-_LIBRARIES = ('asyncio', 'grpclib', 'urllib3', 'cheroot')
+_MAX_STATES = 10_000
+_SILENCED_LOGGERS = ('asyncio', 'grpclib', 'urllib3', 'cheroot')
 
-Logger = Any  # structlog's bound loggers are made at run time.
+Logger = Any  # structlog creates the classes of bound loggers at run time.
 
 
 def make_logger(instance: str, stream: TextIO | None = None) -> Logger:
-    """Returns a logger that writes one JSON object a line.
+    """Returns a logger that writes one JSON object per line.
 
     Args:
-      instance: Instance id, a field of each line.
-      stream: Where lines go; standard error if None.
+      instance: Instance id, added to each line.
+      stream: The output stream; standard error if None.
     """
     processors = [
         structlog.processors.add_log_level,
@@ -41,22 +40,23 @@
 
 
 def quiet_libraries() -> None:
-    """Keeps the libraries' own lines out of the log.
+    """Suppresses log messages of libraries below the level critical.
 
-    Broken connections are everyday here; they are counted, not written.
+    Broken connections are common here; they are counted instead of logged.
     """
-    for name in _LIBRARIES:
+    for name in _SILENCED_LOGGERS:
         logging.getLogger(name).setLevel(logging.CRITICAL)
 
 
 @dataclasses.dataclass(slots=True)
 class StateLog:
-    """Writes a line when the state of a subject differs from the last one.
+    """Logs a state only when it differs from the last one of its subject.
 
     Attributes:
-      logger: Where lines go.
-      states: Last state by (event, subject).
-      lock: Guards `states`.
+      logger: The logger for changes.
+      states: Last state by (event, subject); the oldest is removed when there
+        are too many.
+      lock: Guards changes of `states`.
     """
 
     logger: Logger
@@ -66,13 +66,13 @@
 
     def log_change(self, event: str, subject: str, state: object,
                    **fields: object) -> bool:
-        """Writes a line if the state is new for this subject.
+        """Logs the state of a subject if it has changed.
 
         Args:
-          event: What kind of state, such as 'server_liveness'.
-          subject: Whose state, such as a server's id.
-          state: The state now; its `str` is written.
-          **fields: More fields of the line.
+          event: Kind of state, such as 'server_liveness'.
+          subject: What has the state, such as a server's id.
+          state: The current state; an enum member is logged by its value.
+          **fields: Additional fields of the line.
 
         Returns:
           Whether a line was written.
@@ -85,21 +85,21 @@
             if before == state:
                 self.states[key] = state
                 return False
-            if len(self.states) >= _MAX_SUBJECTS:
+            if len(self.states) >= _MAX_STATES:
                 del self.states[next(iter(self.states))]
             self.states[key] = state
         self.logger.info(event,
                          subject=subject,
-                         state=_show(state),
-                         before=_show(before),
+                         state=_get_value(state),
+                         before=_get_value(before),
                          **fields)
         return True
 
 
 def make_change_logger(logger: Logger) -> Callable[..., bool]:
-    """Returns `StateLog.note` of a new state log over a logger."""
+    """Returns the `log_change` method of a new `StateLog`."""
     return StateLog(logger).log_change
 
 
-def _show(state: object) -> object:
+def _get_value(state: object) -> object:
     return getattr(state, 'value', state)
