--- a/lentilmoor/shutdowns.py
+++ b/lentilmoor/shutdowns.py
@@ -1,8 +1,9 @@
-"""Graceful shutdown: ready no more, finish everything, then end.
+"""Graceful shutdown: finishes all requests before the process ends.
 
-Readiness goes first, so that the balancer sends no new callers; requests that
-still arrive are answered. Idle connections are closed only after a while, as
-a caller may be about to use one.
+The caller of this module first ends the readiness of the process, so that the
+load balancer sends no new callers; requests that still arrive are answered.
+Idle connections are closed only after a delay, as a caller may be about to use
+one.
 """
 
 from collections.abc import Callable
@@ -11,22 +12,22 @@
 
 from lentilmoor import clocks
 
-# How long the balancer and the peers may take to notice.
+# Time until the load balancer and the peers have detected the shutdown.
 BALANCER_DELAY_MS = 2_000.0
-# How long nothing must have arrived before connections are closed.
+# Time without requests after which all of them count as finished.
 QUIET_MS = 500.0
 MAX_WAIT_MS = 60_000.0
-_LOOK_EVERY_MS = 20.0
+_POLL_INTERVAL_MS = 20.0
 
 
 @dataclasses.dataclass(slots=True)
 class RequestCount:
-    """Requests of callers and peers that are being answered.
+    """Count of the requests of callers and peers in flight.
 
     Attributes:
-      in_flight: How many.
+      in_flight: Number of requests being answered.
       close_connections: Whether connections are closed after their request.
-      arrived: How many have arrived since the start.
+      arrived: Number of requests received since the start.
       lock: Guards the counts.
     """
 
@@ -36,13 +37,13 @@
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
 
     def enter(self) -> None:
-        """Counts a request in."""
+        """Records the arrival of a request."""
         with self.lock:
             self.in_flight += 1
             self.arrived += 1
 
     def leave(self) -> None:
-        """Counts a request out."""
+        """Records the end of a request."""
         with self.lock:
             self.in_flight -= 1
 
@@ -50,29 +51,30 @@
 def finish_requests(count: RequestCount,
                     clock: clocks.Clock,
                     wait: Callable[[float], object],
-                    notice_ms: float = BALANCER_DELAY_MS) -> bool:
-    """Waits until no request runs and none arrives any more.
+                    balancer_delay_ms: float = BALANCER_DELAY_MS) -> bool:
+    """Waits until no requests are in flight and none arrive.
 
     Args:
-      count: The requests.
-      clock: Time.
-      wait: Waits for so many seconds.
-      notice_ms: How long others may take to notice.
+      count: Count of the requests.
+      clock: Clock for the delays.
+      wait: Waits for a time, s.
+      balancer_delay_ms: Time until the load balancer and the peers have
+        detected the shutdown.
 
     Returns:
-      Whether all were finished in time.
+      Whether all requests finished in time.
     """
-    began = clock.now()
-    while clock.now() - began < notice_ms:
-        wait(_LOOK_EVERY_MS / clocks.MS_PER_S)
+    started_at = clock.now()
+    while clock.now() - started_at < balancer_delay_ms:
+        wait(_POLL_INTERVAL_MS / clocks.MS_PER_S)
     count.close_connections = True
     quiet_since = clock.now()
     arrived = count.arrived
-    while clock.now() - began < MAX_WAIT_MS:
+    while clock.now() - started_at < MAX_WAIT_MS:
         if count.in_flight or count.arrived != arrived:
             arrived = count.arrived
             quiet_since = clock.now()
         elif clock.now() - quiet_since >= QUIET_MS:
             return True
-        wait(_LOOK_EVERY_MS / clocks.MS_PER_S)
+        wait(_POLL_INTERVAL_MS / clocks.MS_PER_S)
     return False
--- a/lentilmoor/signals.py
+++ b/lentilmoor/signals.py
@@ -1,8 +1,8 @@
-"""Signals of the process, as values that its main thread waits for.
+"""Process signals as values that the main thread waits for.
 
-A handler runs in the main thread between any two of its steps, also while that
-holds a lock. So handlers take none: they put the signal's number into a queue
-that allows it.
+Python runs a handler in the main thread between any two bytecode instructions,
+even while that thread holds a lock. So handlers acquire no locks: they put the
+signal's number into a `queue.SimpleQueue`, whose `put` is reentrant.
 """
 
 from collections.abc import Callable
@@ -12,28 +12,29 @@
 
 from lentilmoor import clocks
 
-# Interval between notes that no signal had been sent.
-_LOOK_S = 0.2
+# Interval between records that no signal had been sent.
+_CHECK_INTERVAL_S = 0.2
 
 
 def block(*numbers: int) -> None:
-    """Leaves signals pending until the main thread watches them.
+    """Blocks signals, which stay pending until the main thread watches them.
 
-    Threads that are started meanwhile, and all that these start, never receive
-    them. One that did would not interrupt the main thread, which could find no
-    signal although one had been sent.
+    Threads that are started meanwhile, and threads started by these, inherit
+    the mask and never receive them. A signal received by another thread would
+    not interrupt the main thread, which could record its absence although it
+    had been sent.
 
     Args:
-      *numbers: Which signals.
+      *numbers: The signal numbers.
     """
     signal.pthread_sigmask(signal.SIG_BLOCK, numbers)
 
 
 def watch(*numbers: int) -> queue.SimpleQueue:
-    """Returns a queue of the signals that arrive from now on, in order.
+    """Unblocks signals and returns a queue of those received, in order.
 
     Args:
-      *numbers: Which signals.
+      *numbers: The signal numbers.
     """
     arrived = queue.SimpleQueue()
     for number in numbers:
@@ -43,22 +44,22 @@
 
 
 def receive(arrived: queue.SimpleQueue, clock: clocks.Clock,
-            note_absent: Callable[[float], None]) -> int:
+            record_absent: Callable[[float], None]) -> int:
     """Waits for the next signal and returns its number.
 
-    A process that is stalled receives signals long after they were sent.
+    A stalled process receives signals long after they were sent.
 
     Args:
-      arrived: What `watch` returned.
-      clock: Time.
-      note_absent: Told, time and again, a time by which no further signal had
-        been sent, ms. It is right only if signals were blocked before other
-        threads started.
+      arrived: The queue that `watch` returned.
+      clock: Clock for the times passed to `record_absent`.
+      record_absent: Called repeatedly with a time by which no further signal
+        had been sent, ms. The time is correct only if the signals were blocked
+        before other threads were started.
     """
     while True:
         now = clock.now()
-        # The handler of a signal sent before then has run by here.
+        # The handler of a signal sent before `now` has run at this point.
         if arrived.empty():
-            note_absent(now)
+            record_absent(now)
         with contextlib.suppress(queue.Empty):
-            return arrived.get(timeout=_LOOK_S)
+            return arrived.get(timeout=_CHECK_INTERVAL_S)
--- a/tests/test_shutdowns.py
+++ b/tests/test_shutdowns.py
@@ -1,11 +1,11 @@
-"""Tests of graceful shutdown, on hand-moved time."""
+"""Tests of graceful shutdown, with a manual clock."""
 
 import unittest
 
 from lentilmoor import clocks
 from lentilmoor import shutdowns
 
-_LOOK_MS = 20.0
+_POLL_INTERVAL_MS = 20.0
 
 
 class FinishTest(unittest.TestCase):
@@ -25,7 +25,7 @@
         return shutdowns.finish_requests(self.count, self.time.clock(),
                                          self._wait)
 
-    def test_connections_stay_open_while_others_take_notice(self):
+    def test_connections_stay_open_until_others_detect_the_shutdown(self):
         seen = []
         self.plan = {
             at: lambda: seen.append(self.count.close_connections)
@@ -36,15 +36,15 @@
         self.assertTrue(self.count.close_connections)
         self.assertLess(self.time.at, 3_000.0)
 
-    def test_a_request_that_runs_is_waited_for(self):
+    def test_request_in_flight_is_awaited(self):
         self.count.enter()
         self.plan = {9_000.0: self.count.leave}
         self.assertTrue(self._finish())
-        # Whoever looks learns of the end one look late, at most.
-        self.assertGreaterEqual(self.time.at,
-                                9_000.0 + shutdowns.QUIET_MS - _LOOK_MS)
+        # The end of the request is detected at most one poll interval late.
+        self.assertGreaterEqual(
+            self.time.at, 9_000.0 + shutdowns.QUIET_MS - _POLL_INTERVAL_MS)
 
-    def test_a_late_arrival_starts_the_quiet_time_anew(self):
+    def test_late_arrival_restarts_the_quiet_time(self):
 
         def come_and_go():
             self.count.enter()
@@ -52,10 +52,10 @@
 
         self.plan = {2_300.0: come_and_go, 2_700.0: come_and_go}
         self.assertTrue(self._finish())
-        self.assertGreaterEqual(self.time.at,
-                                2_700.0 + shutdowns.QUIET_MS - _LOOK_MS)
+        self.assertGreaterEqual(
+            self.time.at, 2_700.0 + shutdowns.QUIET_MS - _POLL_INTERVAL_MS)
 
-    def test_a_request_without_end_is_reported(self):
+    def test_request_that_never_finishes_is_reported(self):
         self.count.enter()
         self.assertFalse(self._finish())
         self.assertGreaterEqual(self.time.at, shutdowns.MAX_WAIT_MS)
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -1,4 +1,4 @@
-"""Signals that arrive while the main thread waits for them."""
+"""Tests of signals that arrive while the main thread waits for them."""
 
 import signal
 import subprocess
@@ -8,7 +8,7 @@
 
 from lentilmoor import clocks
 
-# Sends itself a signal before each line that the wait for one runs.
+# Sends itself a signal before each line of the function that waits for one.
 _PROGRAM = '''
 import os
 import signal
@@ -33,7 +33,7 @@
     pass
 '''
 
-# Prints the last time that was noted while other threads compute.
+# Prints the last recorded time without a signal, while other threads compute.
 _STARVED_PROGRAM = '''
 import signal
 import threading
@@ -57,13 +57,14 @@
 
 class SignalTest(unittest.TestCase):
 
-    def test_a_handler_never_waits_for_the_thread_that_it_interrupts(self):
-        # One that sets an event does if the thread is about to wait for that.
+    def test_handler_never_waits_for_the_interrupted_thread(self):
+        # A handler that sets an event deadlocks if the thread, about to wait for
+        # that event, holds its lock.
         subprocess.run([sys.executable, '-c', _PROGRAM],
                        timeout=10.0,
                        check=True)
 
-    def test_nothing_is_noted_as_absent_after_it_was_sent(self):
+    def test_signal_is_never_recorded_as_absent_after_it_was_sent(self):
         for stopped_s in (0.0, 0.3):
             for delay_s in (0.05, 0.21, 0.4):
                 with self.subTest(stopped_s=stopped_s, delay_s=delay_s):
