--- a/lentilmoor/metrics.py
+++ b/lentilmoor/metrics.py
@@ -1,8 +1,9 @@
-"""Counters, gauges and times, cheap to update on the request path.
+"""Counters, gauges and summaries, cheap to update on the request path.
 
-A counter keeps a cell per thread, so that an update takes no lock. A time is
-appended to a queue and enters its histogram later, in batches. The registry
-shows everything in the Prometheus text form, times with quantiles.
+A counter keeps a cell per thread, so that updates need no lock. A summary
+appends durations to a queue and adds them to its histogram later, in batches.
+The registry renders all metrics in the Prometheus text format, summaries with
+quantiles.
 """
 
 import collections
@@ -27,17 +28,17 @@
 
 _PERCENTILES = [quantile * 100 for quantile in QUANTILES]
 _US_PER_MS = 1_000
-_LOWEST_US = 1
-_HIGHEST_US = 600_000_000
-_DIGITS = 2
-_BUCKET_BITS = 8  # What two digits take.
-_QUEUE_LIMIT = 1_024
+_MIN_US = 1
+_MAX_US = 600_000_000
+_SIGNIFICANT_DIGITS = 2
+_BUCKET_BITS = 8  # Resolution of a histogram with two significant digits.
+_MAX_QUEUED = 1_024
 
 _Metric = TypeVar('_Metric')
 
 
 class Counter:
-    """A number that only grows, summed over a cell of each thread."""
+    """A monotonic counter, the sum of a cell for each thread."""
 
     __slots__ = ('_base', '_cells', '_local', '_lock')
 
@@ -48,14 +49,14 @@
         self._lock = threading.Lock()
 
     def add(self, amount: int = 1) -> None:
-        """Adds to this thread's cell, without a lock."""
+        """Adds to the cell of the current thread, without a lock."""
         try:
             self._local.cell[0] += amount
         except AttributeError:
             self._add_cell(amount)
 
     def read(self) -> int:
-        """Returns the sum; cells of ended threads are folded into it."""
+        """Returns the sum; merges the cells of ended threads."""
         with self._lock:
             kept = []
             for thread, cell in self._cells:
@@ -74,7 +75,7 @@
 
 
 class Gauge:
-    """A number that is set, or read from a closure when it is shown."""
+    """A value that is set, or read from a function when it is rendered."""
 
     __slots__ = ('read', '_value')
 
@@ -89,11 +90,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SummarySnapshot:
-    """Times seen so far.
+    """The state of a `Summary`.
 
     Attributes:
-      count: How many, since the start.
-      sum_ms: Their sum, since the start.
+      count: Number of durations since the start.
+      sum_ms: Sum of the durations since the start.
       quantiles_ms: Values at `QUANTILES` over the last one to two windows.
     """
 
@@ -103,7 +104,7 @@
 
 
 class Summary:
-    """Durations in two HDR histograms, of this window and of the last."""
+    """Durations in two HDR histograms, for the current and the last window."""
 
     __slots__ = ('_clock', '_count', '_current', '_last', '_lock', '_queue',
                  '_sum_ms', '_window_end')
@@ -119,13 +120,16 @@
         self._window_end = clock.now() + WINDOW_MS
 
     def record(self, ms: float) -> None:
-        """Queues a duration; every thousandth call also empties the queue."""
+        """Queues a duration; flushes the queue when it is full."""
         self._queue.append(ms)
-        if len(self._queue) >= _QUEUE_LIMIT:
+        if len(self._queue) >= _MAX_QUEUED:
             self.flush()
 
     def flush(self) -> None:
-        """Moves queued durations into the histogram, unless one does so."""
+        """Adds queued durations to the histogram.
+
+        Does nothing if another thread is already doing so.
+        """
         # pylint: disable-next=consider-using-with
         if not self._lock.acquire(blocking=False):
             return
@@ -135,7 +139,7 @@
             self._lock.release()
 
     def read(self) -> SummarySnapshot:
-        """Returns counts and quantiles with everything queued included."""
+        """Returns count, sum and quantiles, including queued durations."""
         with self._lock:
             self._drain()
             merged = _make_histogram()
@@ -150,7 +154,7 @@
         self._rotate()
         queue = self._queue
         batch = [queue.popleft() for _ in range(len(queue))]
-        counts = collections.Counter(map(_find_bucket, batch))
+        counts = collections.Counter(map(_find_bucket_start, batch))
         for value, count in counts.items():
             self._current.record_value(value, count)
         self._count += len(batch)
@@ -169,37 +173,38 @@
 
 
 class Family(Generic[_Metric]):
-    """Metrics of one name, one for each set of label values.
+    """Metrics of one name, one for each combination of label values.
 
-    At most `MAX_CHILDREN` sets get a metric of their own; the rest share the
-    one whose labels are all `OVERFLOW_LABEL`, so that callers can't fill the
-    memory.
+    At most `MAX_CHILDREN` combinations have their own metric; the others share
+    the one whose labels are all `OVERFLOW_LABEL`. So callers that choose label
+    values can't exhaust the memory.
     """
 
     __slots__ = ('_children', '_lock', '_make', 'labels', 'name', 'help_text')
 
-    def __init__(self, name: str, text: str, labels: tuple[str, ...],
+    def __init__(self, name: str, help_text: str, labels: tuple[str, ...],
                  make: Callable[[], _Metric]):
         self.name = name
-        self.help_text = text
+        self.help_text = help_text
         self.labels = labels
         self._make = make
         self._children: dict[tuple[str, ...], _Metric] = {}
         self._lock = threading.Lock()
 
     def labeled(self, *values: str) -> _Metric:
-        """Returns the metric of these label values, in the labels' order."""
+        """Returns the metric for label values, in the order of `labels`."""
         child = self._children.get(values)
         return self._add(values) if child is None else child
 
     def children(self) -> list[tuple[tuple[str, ...], _Metric]]:
-        """Returns the metrics with their label values."""
+        """Returns all metrics with their label values."""
         with self._lock:
             return list(self._children.items())
 
     def _add(self, values: tuple[str, ...]) -> _Metric:
         if len(values) != len(self.labels):
-            raise ValueError(f'{self.name}: expected labels {self.labels}')
+            raise ValueError(
+                f'metric {self.name}: expected values for labels {self.labels}')
         with self._lock:
             if len(self._children) >= MAX_CHILDREN:
                 values = (OVERFLOW_LABEL,) * len(self.labels)
@@ -213,72 +218,74 @@
         self._clock = clock
         self._counters: list[Family[Counter]] = []
         self._gauges: list[Family[Gauge]] = []
-        self._times: list[Family[Summary]] = []
-        self._exposed = prometheus_client.CollectorRegistry()
-        self._exposed.register(self)
-
-    def counter(self, name: str, text: str, *labels: str) -> Family[Counter]:
-        """Registers a family of counters; `_total` is added when shown."""
-        family = Family(name, text, labels, Counter)
+        self._summaries: list[Family[Summary]] = []
+        self._exporter = prometheus_client.CollectorRegistry()
+        self._exporter.register(self)
+
+    def counter(self, name: str, help_text: str, *labels:
+                str) -> Family[Counter]:
+        """Registers a family of counters; `_total` is added when rendered."""
+        family = Family(name, help_text, labels, Counter)
         self._counters.append(family)
         return family
 
     def gauge(self,
               name: str,
-              text: str,
+              help_text: str,
               *labels: str,
               read: Callable[[], float] | None = None) -> Family[Gauge]:
-        """Registers a family of gauges, read by a closure if one is given."""
-        family = Family(name, text, labels, lambda: Gauge(read))
+        """Registers a family of gauges, read by a function if one is given."""
+        family = Family(name, help_text, labels, lambda: Gauge(read))
         self._gauges.append(family)
         if read is not None and not labels:
             family.labeled()
         return family
 
-    def summary(self, name: str, text: str, *labels: str) -> Family[Summary]:
-        """Registers a family of durations; the name should end in `_ms`."""
-        family = Family(name, text, labels, lambda: Summary(self._clock))
-        self._times.append(family)
+    def summary(self, name: str, help_text: str, *labels:
+                str) -> Family[Summary]:
+        """Registers a family of summaries; the name should end in `_ms`."""
+        family = Family(name, help_text, labels, lambda: Summary(self._clock))
+        self._summaries.append(family)
         return family
 
     def flush(self) -> None:
-        """Empties the queues of all durations; called once a tick or less."""
-        for family in self._times:
+        """Flushes the queues of all summaries; called at most once a tick."""
+        for family in self._summaries:
             for _, child in family.children():
                 child.flush()
 
     def render_text(self) -> bytes:
-        """Returns every metric in the Prometheus text form."""
-        return prometheus_client.generate_latest(self._exposed)
+        """Returns all metrics in the Prometheus text format."""
+        return prometheus_client.generate_latest(self._exporter)
 
     def collect(self) -> Iterator[metrics_core.Metric]:
-        """Yields each family; called by prometheus_client."""
+        """Yields all families; called by prometheus_client."""
         for family in self._counters:
-            yield _show_counters(family)
+            yield _make_counter_family(family)
         for family in self._gauges:
-            yield _show_gauges(family)
-        for family in self._times:
-            yield _show_times(family)
+            yield _make_gauge_family(family)
+        for family in self._summaries:
+            yield _make_summary_family(family)
 
 
-def _find_bucket(ms: float) -> int:
-    """Returns the lowest value, us, of the histogram's bucket for a time.
+def _find_bucket_start(ms: float) -> int:
+    """Returns the lowest value, us, of the histogram bucket of a duration.
 
-    Equal ones are recorded at once, which costs less than one by one.
+    Recording equal values together is cheaper than recording them one by one.
 
     Args:
       ms: A duration; out of range it goes to the nearest bucket.
     """
-    value = min(max(int(ms * _US_PER_MS), _LOWEST_US), _HIGHEST_US)
+    value = min(max(int(ms * _US_PER_MS), _MIN_US), _MAX_US)
     shift = max(value.bit_length() - _BUCKET_BITS, 0)
     return value >> shift << shift
 
 
 def _make_histogram() -> histogram.HdrHistogram:
-    return histogram.HdrHistogram(_LOWEST_US, _HIGHEST_US, _DIGITS)
+    return histogram.HdrHistogram(_MIN_US, _MAX_US, _SIGNIFICANT_DIGITS)
 
 
-def _show_counters(family: Family[Counter]) -> metrics_core.Metric:
+def _make_counter_family(family: Family[Counter]) -> metrics_core.Metric:
     shown = metrics_core.CounterMetricFamily(family.name,
                                              family.help_text,
                                              labels=family.labels)
@@ -287,7 +294,7 @@
     return shown
 
 
-def _show_gauges(family: Family[Gauge]) -> metrics_core.Metric:
+def _make_gauge_family(family: Family[Gauge]) -> metrics_core.Metric:
     shown = metrics_core.GaugeMetricFamily(family.name,
                                            family.help_text,
                                            labels=family.labels)
@@ -296,7 +303,7 @@
     return shown
 
 
-def _show_times(family: Family[Summary]) -> metrics_core.Metric:
+def _make_summary_family(family: Family[Summary]) -> metrics_core.Metric:
     shown = metrics_core.SummaryMetricFamily(family.name,
                                              family.help_text,
                                              labels=family.labels)
--- a/tests/test_metrics.py
+++ b/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Counters, gauges and times under threads, and their text form."""
+"""Tests of metrics under threads, and of their text format."""
 
 import threading
 import unittest
@@ -27,7 +27,7 @@
 
 class CounterTest(unittest.TestCase):
 
-    def test_no_update_is_lost_and_ended_threads_are_folded(self):
+    def test_no_update_is_lost_and_cells_of_ended_threads_are_merged(self):
         counter = metrics.Counter()
 
         def work():
@@ -42,16 +42,16 @@
         self.assertEqual(counter.read(), 80_003)
 
 
-class TimesTest(unittest.TestCase):
+class SummaryTest(unittest.TestCase):
 
     def setUp(self):
         self.time = clocks.ManualTime()
-        self.times = metrics.Summary(self.time.clock())
+        self.summary = metrics.Summary(self.time.clock())
 
     def test_quantiles_within_two_digits(self):
         for ms in range(1, 1_001):
-            self.times.record(float(ms))
-        snapshot = self.times.read()
+            self.summary.record(float(ms))
+        snapshot = self.summary.read()
         self.assertEqual(snapshot.count, 1_000)
         self.assertAlmostEqual(snapshot.sum_ms, 500_500.0)
         for quantile, ms in zip(metrics.QUANTILES,
@@ -60,30 +60,30 @@
             self.assertAlmostEqual(ms / (quantile * 1_000), 1.0, delta=0.011)
 
     def test_old_windows_leave_the_quantiles_but_not_the_count(self):
-        self.times.record(500.0)
-        self.times.read()
+        self.summary.record(500.0)
+        self.summary.read()
         self.time.advance(metrics.WINDOW_MS)
-        self.times.record(5.0)
-        self.assertGreater(self.times.read().quantiles_ms[-1], 490.0)
+        self.summary.record(5.0)
+        self.assertGreater(self.summary.read().quantiles_ms[-1], 490.0)
         self.time.advance(metrics.WINDOW_MS)
-        self.times.record(5.0)
-        snapshot = self.times.read()
+        self.summary.record(5.0)
+        snapshot = self.summary.read()
         self.assertLess(snapshot.quantiles_ms[-1], 6.0)
         self.assertEqual(snapshot.count, 3)
 
-    def test_queue_is_bounded_and_loses_nothing_under_threads(self):
+    def test_concurrent_updates_lose_no_duration(self):
 
         def work():
             for _ in range(3_000):
-                self.times.record(2.0)
+                self.summary.record(2.0)
 
         _run_threads(4, work)
-        self.assertEqual(self.times.read().count, 12_000)
+        self.assertEqual(self.summary.read().count, 12_000)
 
-    def test_out_of_range_values_are_kept(self):
-        self.times.record(-1.0)
-        self.times.record(10_000_000.0)
-        self.assertEqual(self.times.read().count, 2)
+    def test_out_of_range_values_are_counted(self):
+        self.summary.record(-1.0)
+        self.summary.record(10_000_000.0)
+        self.assertEqual(self.summary.read().count, 2)
 
 
 class RegistryTest(unittest.TestCase):
@@ -91,7 +91,7 @@
     def setUp(self):
         self.registry = metrics.Registry(clocks.ManualTime().clock())
 
-    def test_text_form(self):
+    def test_text_format(self):
         requests = self.registry.counter('requests', 'Requests.', 'service')
         requests.labeled('shop/stock').add(2)
         requests.labeled('a"b\\c\n').add()
@@ -108,13 +108,13 @@
         median = samples['hop_ms', (('hop', 'try'), ('quantile', '0.5'))]
         self.assertAlmostEqual(median, 4.0, delta=0.05)
 
-    def test_label_sets_are_bounded(self):
+    def test_number_of_label_combinations_is_bounded(self):
         family = self.registry.counter('requests', 'Requests.', 'path')
         for index in range(metrics.MAX_CHILDREN + 50):
             family.labeled(f'/{index}').add()
         self.assertLessEqual(len(family.children()), metrics.MAX_CHILDREN + 1)
         self.assertEqual(family.labeled(metrics.OVERFLOW_LABEL).read(), 50)
 
-    def test_wrong_number_of_labels(self):
+    def test_wrong_number_of_label_values_is_rejected(self):
         with self.assertRaises(ValueError):
             self.registry.counter('requests', 'Requests.', 'path').labeled()
