--- a/lentilmoor/clocks.py
+++ b/lentilmoor/clocks.py
@@ -1,7 +1,7 @@
-"""Time in milliseconds, read in one place.
+"""Clocks that return time in milliseconds.
 
-Systems never read a clock: they are handed `now`. A runner reads `Clock.now`
-once per tick and the request path reads it per request.
+The functions called during a tick don't read a clock: `now` is an argument. A
+runner reads `Clock.now` once per tick, the request path once per request.
 """
 
 from collections.abc import Callable
@@ -38,34 +38,38 @@
 
 
 def make_suspend_clock() -> Clock:
-    """Returns a clock that goes on while the instance is suspended.
+    """Returns a clock that continues while the instance is suspended.
 
-    Leases and holds run on elsewhere meanwhile.
+    Leases and holds still expire elsewhere during that time.
     """
     return Clock(now=_read_boottime)
 
 
 def pause(ms: float) -> None:
-    """Waits for a time of the real clock."""
+    """Sleeps for a duration of real time."""
     time.sleep(max(0.0, ms) / MS_PER_S)
 
 
 @dataclasses.dataclass(slots=True)
 class ManualTime:
-    """Hand-moved time for tests and benchmarks, in milliseconds."""
+    """Manually advanced time for tests and benchmarks, in milliseconds."""
 
     at: float = 0.0
 
     def advance(self, ms: float) -> None:
-        """Moves time forward.
+        """Advances the time.
 
         Args:
           ms: Milliseconds to add; not negative.
+
+        Raises:
+          ValueError: The value is negative.
         """
         if ms < 0:
-            raise ValueError(f'time does not run backwards: {ms}')
+            raise ValueError(
+                f'time cannot be advanced by a negative value: {ms} ms')
         self.at += ms
 
     def clock(self) -> Clock:
-        """Returns a clock whose two sources both read this time."""
+        """Returns a clock whose two sources both return this time."""
         return Clock(now=lambda: self.at, wall=lambda: self.at)
