--- a/lentilmoor/edge/control.py
+++ b/lentilmoor/edge/control.py
@@ -225,32 +225,32 @@
 
     def _log_delay(self, tick: Tick) -> None:
         """Logs a long delay of a tick: all decisions are then late."""
-        timing, now = self._owned.timing, self._clock.now()
-        timing.tick_delay_ms = now - (now
-                                      if tick.sent_at is None else tick.sent_at)
-        if (timing.tick_delay_ms < MIN_LOGGED_DELAY_MS or
-                now - timing.logged_at < DELAY_LOG_INTERVAL_MS):
+        actor_timing, now = self._owned.timing, self._clock.now()
+        actor_timing.tick_delay_ms = now - (now if tick.sent_at is None else
+                                            tick.sent_at)
+        if (actor_timing.tick_delay_ms < MIN_LOGGED_DELAY_MS or
+                now - actor_timing.logged_at < DELAY_LOG_INTERVAL_MS):
             return
-        timing.logged_at = now
+        actor_timing.logged_at = now
         self._logger.warning('control_late',
-                             late_ms=round(timing.tick_delay_ms),
+                             late_ms=round(actor_timing.tick_delay_ms),
                              waiting=self.actor_inbox.qsize(),
-                             steps=timing.steps,
-                             step_ms=round(timing.step_ms))
+                             steps=actor_timing.steps,
+                             step_ms=round(actor_timing.step_ms))
 
     def _step_if_due(self) -> None:
         now = self._clock.now()
         if self._owned.store_snapshot is None:
             return
-        timing = self._owned.timing
-        timing.pause_ms = find_step_interval(len(self._owned.servers))
-        if now - self._stepped_at < timing.pause_ms:
+        actor_timing = self._owned.timing
+        actor_timing.pause_ms = find_step_interval(len(self._owned.servers))
+        if now - self._stepped_at < actor_timing.pause_ms:
             self._request_tick()
             return
         self._stepped_at = now
         self._step(now)
-        timing.steps += 1
-        timing.step_ms += self._clock.now() - now
+        actor_timing.steps += 1
+        actor_timing.step_ms += self._clock.now() - now
 
     def _step(self, now: float) -> None:
         self._include_confirmed(now)
@@ -488,14 +488,14 @@
 
     def _publish(self) -> None:
         owned = self._owned
-        snapshot = owned.store_snapshot
+        content = owned.store_snapshot
         servers: dict[str, dict[str, tables.Server]] = {}
         for server in owned.servers.values():
             if server.id not in owned.ended_servers:
                 servers.setdefault(server.service, {})[server.id] = server
         assignments = {
             name: saved.assignment
-            for name, saved in snapshot.assignments.items()
+            for name, saved in content.assignments.items()
         }
         for name, received in owned.peer_assignments.items():
             known = assignments.get(name)
@@ -507,8 +507,8 @@
         forwarder = self._forwarder
         with forwarder.changed:
             forwarder.snapshot = tables.RoutingSnapshot(
-                snapshot.configuration, servers, assignments,
-                dict(snapshot.coordinators), dict(snapshot.entries))
+                content.configuration, servers, assignments,
+                dict(content.coordinators), dict(content.entries))
             forwarder.changed.notify_all()
 
     def _add_samples(self, found: dict[str,
--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -1,4 +1,7 @@
-"""The composition root of an entry on a platform that enforces grants."""
+"""Composition root of an entry on a platform that enforces grants.
+
+Creates the parts of the process, runs it, and shuts it down after SIGTERM.
+"""
 
 from collections.abc import Callable
 import dataclasses
@@ -37,27 +40,28 @@
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
 
-# Requests answered at once, at first and at most; each waits for one server.
+# Initial and maximum number of threads that answer callers. Each waits for one
+# server at a time.
 CALLER_THREAD_LIMITS = (16, 64)
 PAGE_THREAD_LIMITS = (2, 2)
-# Other entries answered at once, and how long a reply is written at most. Who
-# doesn't take it holds a thread, and must not keep the hub's news from all
-# others. A report is given up by who sent it after some 1 s. Requests for news
-# wait in these threads too.
+# Threads that answer other entries, and the time limit for writing a reply. An
+# entry that doesn't read its reply occupies a thread, which must not keep the
+# hub from sending news to the others. The sender of a report gives up after
+# about 1 s. Requests for news wait in these threads too.
 PEER_THREAD_LIMITS = (8, 16 + storecopy.MAX_WAITING_REQUESTS)
 REPLY_WRITE_TIMEOUT_MS = 1_000.0
-# Kept open to another entry: one for reports, one for news.
+# Connections to another entry: one for reports, one for news.
 MAX_PEER_CONNECTIONS = 2
-# After SIGTERM: the balancer asks once a second and needs two misses, so new
-# connections may come for so long.
+# How long after SIGTERM new connections may still arrive: the load balancer
+# checks readiness once a second and needs two failed checks.
 BALANCER_NOTICE_MS = 3_100.0
-# For the answers to requests that are given up because this process ends.
+# Time to write the answers to requests that the end of this process aborts.
 FINAL_ANSWERS_MS = 150.0
-# What the process is asked by: to end, and to read its settings again.
+# SIGTERM starts the shutdown; SIGHUP requests a reload of the settings.
 SIGNALS = (signal.SIGTERM, signal.SIGHUP)
 READY_PATH = '/-/readyz'
 METRICS_PATH = '/metrics'
-# A page that took longer to write held a thread: who asked doesn't read.
+# A slower write of a reply is logged: its reader occupied a thread.
 SLOW_WRITE_MS = 100.0
 _POLL_INTERVAL_MS = 50.0
 
@@ -67,18 +71,18 @@
     """A running entry.
 
     Attributes:
-      platform: The adapter.
-      clock: Time.
-      logger: Takes lines.
-      forwarder: What request threads share.
-      count: Requests that are being answered.
+      platform: Adapter of the platform.
+      clock: Clock of the process.
+      logger: Logger of the process.
+      forwarder: State shared by request threads.
+      request_count: Count of the requests in flight.
+      metrics: Counts and durations of requests.
       actor: The control actor.
-      measures: Counts and times of requests.
-      reporter: Exchanges reports with the other entries.
-      listeners: HTTP servers.
+      reporter: Exchanges reports with other entries.
+      listeners: HTTP servers for callers, readiness and other entries.
       follower: Follows the store.
-      pace: Whether the control actor keeps up.
-      hurry: Set when the control actor wants a tick soon.
+      actor_timing: Delay and duration of the control actor's steps.
+      tick_requested: Set when the control actor needs a tick soon.
     """
 
     platform: ports.Platform
@@ -92,7 +96,7 @@
     listeners: list[listening.Listener] = dataclasses.field(
         default_factory=list)
     follower: storecopy.StoreFollower | None = None
-    timing: controlstate.ActorTiming | None = None
+    actor_timing: controlstate.ActorTiming | None = None
     tick_requested: threading.Event = dataclasses.field(
         default_factory=threading.Event)
 
@@ -103,43 +107,43 @@
     """Runs an entry until SIGTERM.
 
     Args:
-      platform: The adapter.
-      instance: This process's id, new with each start.
-      clock: Time.
-      logger: Takes lines.
-      socket_options: Set on connections to servers and entries.
-      callers: The socket on which callers' connections already arrive; one is
-        opened if there is none.
+      platform: Adapter of the platform.
+      instance: Id of this process, new with each start.
+      clock: Clock of the process.
+      logger: Logger of the process.
+      socket_options: Options of connections to servers and entries.
+      callers: Listening socket that already accepts connections of callers; if
+        None, one is opened.
       started_at: When the process started, before it blocked `SIGNALS`, ms.
     """
     logs.quiet_libraries()
     entry = _make_entry(platform, instance, clock, logger, socket_options,
                         started_at)
     entry.listeners[0].opened = callers
-    note_running = functools.partial(departures.record_sigterm_absent,
-                                     entry.forwarder.departure,
-                                     platform.settings.bounds.grace_ms)
-    note_running(started_at)
+    record_absent = functools.partial(departures.record_sigterm_absent,
+                                      entry.forwarder.departure,
+                                      platform.settings.bounds.grace_ms)
+    record_absent(started_at)
     for listener in entry.listeners:
         listener.prepare()
-        _start(listener.serve)
+        _start_thread(listener.serve)
     _serve_metrics(entry)
     following.restart_following(entry.follower)
-    _start(functools.partial(_tick_forever, entry))
-    _start(functools.partial(reporting.report_forever, entry.reporter))
-    _start(functools.partial(subscriptions.request_news_forever,
-                             entry.follower))
+    _start_thread(functools.partial(_tick_forever, entry))
+    _start_thread(functools.partial(reporting.report_forever, entry.reporter))
+    _start_thread(
+        functools.partial(subscriptions.request_news_forever, entry.follower))
     logger.info('entry_started', callers=platform.settings.callers)
-    # Threads that are started after this could receive signals.
+    # Threads started from here on could receive signals.
     arrived = signals.watch(*SIGNALS)
-    while signals.receive(arrived, clock, note_running) != signal.SIGTERM:
+    while signals.receive(arrived, clock, record_absent) != signal.SIGTERM:
         logger.info('reload_asked')
     _shut_down(entry)
     logger.info('entry_stopped')
 
 
-def _start(work: Callable[[], object]) -> None:
-    threading.Thread(target=work, daemon=True).start()
+def _start_thread(run_thread: Callable[[], object]) -> None:
+    threading.Thread(target=run_thread, daemon=True).start()
 
 
 def _make_entry(platform: ports.Platform, instance: str, clock: clocks.Clock,
@@ -166,7 +170,7 @@
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
                   requestmetrics.RequestMetrics(clock))
     owned = controlstate.ControlState(instance)
-    entry.timing = owned.timing
+    entry.actor_timing = owned.timing
     entry.actor = control.Control.start(
         owned,
         forwarder,
@@ -220,18 +224,18 @@
     return entry
 
 
-def _log_slow_write(logger: logs.Logger, peer: str, size: int,
+def _log_slow_write(logger: logs.Logger, peer: str, byte_count: int,
                     took_ms: float) -> None:
-    """Tells of a peer that takes its reply slowly, and so holds a thread."""
+    """Logs a peer that reads its reply slowly and so occupies a thread."""
     if took_ms >= SLOW_WRITE_MS:
         logger.info('reply_held',
                     peer=peer,
-                    reply_bytes=size,
+                    byte_count=byte_count,
                     took_ms=round(took_ms))
 
 
 def _serve_metrics(entry: Entry) -> None:
-    """Serves metrics; an entry works without them if their port is taken."""
+    """Serves metrics; the entry runs without them if their port is in use."""
     address = entry.platform.settings.metrics
     listener = listening.make_listener(
         address,
@@ -245,7 +249,7 @@
                              address=address,
                              reason=str(error))
         return
-    _start(listener.serve)
+    _start_thread(listener.serve)
 
 
 def _render_metrics(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
@@ -289,11 +293,11 @@
             requests.find_age(entry.forwarder,
                               entry.forwarder.departure.checked_at),
         'control_late_ms':
-            entry.timing.tick_delay_ms,
+            entry.actor_timing.tick_delay_ms,
         'control_steps':
-            float(entry.timing.steps),
+            float(entry.actor_timing.steps),
         'control_step_ms':
-            entry.timing.step_ms,
+            entry.actor_timing.step_ms,
     }
     calls = entry.platform.store.count_calls()
     gauges |= {f'store_calls_{kind}': float(calls[kind]) for kind in calls}
@@ -309,7 +313,7 @@
 
 def _record_outcome(entry: Entry, request: requests.Request,
                     outcome: requests.Outcome) -> None:
-    """Writes a line for a request that no server answered."""
+    """Records the outcome of a request; logs it if no server answered."""
     age_ms = round(entry.clock.now() - request.arrived_at)
     if isinstance(outcome, tries.Answer):
         entry.metrics.record('answered', str(outcome.status), age_ms)
@@ -346,7 +350,7 @@
 
 
 def _render_state(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
-    """Tells an entry that can't reach the store what has changed."""
+    """Returns changes of the store to an entry that can't reach it."""
     if body and not body.isdigit():
         return 400, b'', 'text/plain'
     dump = entry.platform.store.dump(int(body or 0))
@@ -354,10 +358,10 @@
 
 
 def _answer_news_request(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
-    asked = reports.decode_news_request(body)
-    if asked is None:
+    news_request = reports.decode_news_request(body)
+    if news_request is None:
         return 400, b'', 'text/plain'
-    reply = subscriptions.handle_news_request(entry.follower, asked)
+    reply = subscriptions.handle_news_request(entry.follower, news_request)
     if reply is None:
         return 503, b'', 'text/plain'
     return 200, reports.encode_news(reply), 'application/json'
@@ -380,13 +384,13 @@
     return 200, reports.encode_permit(reply), 'application/json'
 
 
-def _apply_snapshot(entry: Entry, found: ports.StoreSnapshot,
-                    heard: bool) -> None:
+def _apply_snapshot(entry: Entry, snapshot: ports.StoreSnapshot,
+                    from_peer: bool) -> None:
     number = staleness.add_pending_change(entry.forwarder.freshness)
-    entry.actor.tell(control.StoreUpdate(found, heard, number))
-    if found.configuration is None:
+    entry.actor.tell(control.StoreUpdate(snapshot, from_peer, number))
+    if snapshot.configuration is None:
         return
-    limits = found.configuration.limits
+    limits = snapshot.configuration.limits
     callers = entry.listeners[0]
     callers.timeout = (limits.idle_timeout_ms / clocks.MS_PER_S +
                        listening.IDLE_SLACK_S)
@@ -397,7 +401,7 @@
     while True:
         if entry.tick_requested.wait(control.TICK_INTERVAL_MS /
                                      clocks.MS_PER_S):
-            clocks.pause(entry.timing.pause_ms)
+            clocks.pause(entry.actor_timing.pause_ms)
             entry.tick_requested.clear()
         entry.actor.tell(control.Tick(entry.clock.now()))
         following.restart_if_silent(entry.follower)
@@ -405,51 +409,52 @@
 
 
 def _shut_down(entry: Entry) -> None:
-    """Ends without interrupting a request."""
-    noticed_at = entry.clock.now()
+    """Shuts down, interrupting requests only if the grace period ends."""
+    received_at = entry.clock.now()
     departure = entry.forwarder.departure
     departure.sigterm_received = True
     entry.logger.info('entry_leaving',
                       inside=entry.request_count.in_flight,
-                      late_ms=round(noticed_at - departure.checked_at),
+                      late_ms=round(received_at - departure.checked_at),
                       left_ms=round(_find_remaining(entry, departure.ends_at)))
     handed_over = threading.Event()
     entry.actor.tell(control.PrepareShutdown(handed_over))
     entry.request_count.close_connections = True
-    while entry.clock.now() < min(noticed_at + BALANCER_NOTICE_MS,
+    while entry.clock.now() < min(received_at + BALANCER_NOTICE_MS,
                                   departure.ends_at):
         clocks.pause(_POLL_INTERVAL_MS)
-    # Takes no new connections, closes idle ones and waits for the others. The
-    # library would measure a time-out by the time of day, which may jump.
+    # Accepts no new connections, closes idle ones and waits for the others. The
+    # library would measure a timeout by the wall clock, which may jump.
     callers = entry.listeners[0]
     callers.shutdown_timeout = None
     stopping = threading.Thread(target=callers.stop, daemon=True)
     stopping.start()
     stopping.join(_find_remaining(entry, departure.ends_at) / clocks.MS_PER_S)
-    # While the store is away nobody else can renew the servers' grants, so this
-    # goes on for as long as the process may live.
+    # While the store is unavailable, no other entry can renew the servers'
+    # grants, so this entry continues until shortly before it is killed.
     grace_ms = entry.platform.settings.bounds.grace_ms
-    latest_end_at = noticed_at + grace_ms - departures.KILL_MARGIN_MS
+    latest_end_at = received_at + grace_ms - departures.KILL_MARGIN_MS
     handed_over.wait(_find_remaining(entry, latest_end_at) / clocks.MS_PER_S)
     _log_interrupted(entry)
     entry.logger.info('entry_finished', inside=entry.request_count.in_flight)
 
 
 def _find_remaining(entry: Entry, ends_at: float) -> float:
-    """Returns the time until the last answers have been written, ms."""
+    """Returns the time until the final answers must be written, ms."""
     return max(0.0, ends_at + FINAL_ANSWERS_MS - entry.clock.now())
 
 
 def _log_interrupted(entry: Entry) -> None:
-    """Writes a line for each request that the end of this process cuts."""
+    """Logs each request that the end of this process interrupts."""
     now = entry.clock.now()
-    for cut in list(entry.forwarder.in_flight):
-        worked_ms = round(now - cut.sent_at) if cut.server else 0
+    for interrupted in list(entry.forwarder.in_flight):
+        worked_ms = round(now -
+                          interrupted.sent_at) if interrupted.server else 0
         entry.logger.warning('request_interrupted',
-                             request=cut.request.fields.request_id,
-                             path=cut.request.path,
-                             service=cut.service.name,
-                             server=cut.server,
+                             request=interrupted.request.fields.request_id,
+                             path=interrupted.request.path,
+                             service=interrupted.service.name,
+                             server=interrupted.server,
                              worked_ms=worked_ms,
-                             age_ms=round(now - cut.request.arrived_at),
-                             left_ms=round(cut.deadline_at - now))
+                             age_ms=round(now - interrupted.request.arrived_at),
+                             left_ms=round(interrupted.deadline_at - now))
--- a/tests/test_signals.py
+++ b/tests/test_signals.py
@@ -58,8 +58,8 @@
 class SignalTest(unittest.TestCase):
 
     def test_handler_never_waits_for_the_interrupted_thread(self):
-        # A handler that sets an event deadlocks if the thread, about to wait for
-        # that event, holds its lock.
+        # A handler that sets an event deadlocks if the thread is about to wait
+        # for that event and holds its lock.
         subprocess.run([sys.executable, '-c', _PROGRAM],
                        timeout=10.0,
                        check=True)
