--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -230,7 +230,7 @@
     if took_ms >= SLOW_WRITE_MS:
         logger.info('reply_held',
                     peer=peer,
-                    byte_count=byte_count,
+                    reply_bytes=byte_count,
                     took_ms=round(took_ms))
 
 
