--- a/lentilmoor/edge/entry.py
+++ b/lentilmoor/edge/entry.py
@@ -1,4 +1,7 @@
-"""The composition root of an entry on a platform that enforces grants."""
+"""Composition root of an entry on a platform that enforces grants.
+
+Creates the parts of the process, runs it, and shuts it down after SIGTERM.
+"""
 
 from collections.abc import Callable
 import dataclasses
@@ -37,29 +40,30 @@
 from lentilmoor.edge import suspects
 from lentilmoor.edge import tables
 
-# Requests answered at once, at first and at most; each waits for one server.
-CALLER_THREADS = (16, 64)
-PAGE_THREADS = (2, 2)
-# Other entries answered at once, and how long a reply is written at most. Who
-# doesn't take it holds a thread, and must not keep the hub's news from all
-# others. A report is given up by who sent it after some 1 s. Requests for news
-# wait in these threads too.
-PEER_THREADS = (8, 16 + storecopy.MAX_WAITING_REQUESTS)
-REPLY_WRITE_MS = 1_000.0
-# Kept open to another entry: one for reports, one for news.
-PEER_CONNECTIONS = 2
-# After SIGTERM: the balancer asks once a second and needs two misses, so new
-# connections may come for so long.
-NOTICE_MS = 3_100.0
-# For the answers to requests that are given up because this process ends.
-LAST_ANSWERS_MS = 150.0
-# What the process is asked by: to end, and to read its settings again.
+# Initial and maximum number of threads that answer callers. Each waits for one
+# server at a time.
+CALLER_THREAD_LIMITS = (16, 64)
+PAGE_THREAD_LIMITS = (2, 2)
+# Threads that answer other entries, and the time limit for writing a reply. An
+# entry that doesn't read its reply occupies a thread, which must not keep the
+# hub from sending news to the others. The sender of a report gives up after
+# about 1 s. Requests for news wait in these threads too.
+PEER_THREAD_LIMITS = (8, 16 + storecopy.MAX_WAITING_REQUESTS)
+REPLY_WRITE_TIMEOUT_MS = 1_000.0
+# Connections to another entry: one for reports, one for news.
+MAX_PEER_CONNECTIONS = 2
+# How long after SIGTERM new connections may still arrive: the load balancer
+# checks readiness once a second and needs two failed checks.
+BALANCER_NOTICE_MS = 3_100.0
+# Time to write the answers to requests that the end of this process aborts.
+FINAL_ANSWERS_MS = 150.0
+# SIGTERM starts the shutdown; SIGHUP requests a reload of the settings.
 SIGNALS = (signal.SIGTERM, signal.SIGHUP)
 READY_PATH = '/-/readyz'
 METRICS_PATH = '/metrics'
-# A page that took longer to write held a thread: who asked doesn't read.
+# A slower write of a reply is logged: its reader occupied a thread.
 SLOW_WRITE_MS = 100.0
-_LOOK_MS = 50.0
+_POLL_INTERVAL_MS = 50.0
 
 
 @dataclasses.dataclass(slots=True)
@@ -67,33 +71,34 @@
     """A running entry.
 
     Attributes:
-      platform: The adapter.
-      clock: Time.
-      logger: Takes lines.
-      forwarder: What request threads share.
-      count: Requests that are being answered.
+      platform: Adapter of the platform.
+      clock: Clock of the process.
+      logger: Logger of the process.
+      forwarder: State shared by request threads.
+      request_count: Count of the requests in flight.
+      metrics: Counts and durations of requests.
       actor: The control actor.
-      measures: Counts and times of requests.
-      reporter: Exchanges reports with the other entries.
-      listeners: HTTP servers.
+      reporter: Exchanges reports with other entries.
+      listeners: HTTP servers for callers, readiness and other entries.
       follower: Follows the store.
-      pace: Whether the control actor keeps up.
-      hurry: Set when the control actor wants a tick soon.
+      actor_timing: Delay and duration of the control actor's steps.
+      tick_requested: Set when the control actor needs a tick soon.
     """
 
     platform: ports.Platform
     clock: clocks.Clock
     logger: logs.Logger
     forwarder: requests.Forwarder
-    count: shutdowns.RequestCount
-    measures: requestmetrics.RequestMetrics
+    request_count: shutdowns.RequestCount
+    metrics: requestmetrics.RequestMetrics
     actor: pykka.ActorRef | None = None
     reporter: reporting.Reporter | None = None
     listeners: list[listening.Listener] = dataclasses.field(
         default_factory=list)
     follower: storecopy.StoreFollower | None = None
-    pace: controlstate.ActorTiming | None = None
-    hurry: threading.Event = dataclasses.field(default_factory=threading.Event)
+    actor_timing: controlstate.ActorTiming | None = None
+    tick_requested: threading.Event = dataclasses.field(
+        default_factory=threading.Event)
 
 
 def run(platform: ports.Platform, instance: str, clock: clocks.Clock,
@@ -102,43 +107,43 @@
     """Runs an entry until SIGTERM.
 
     Args:
-      platform: The adapter.
-      instance: This process's id, new with each start.
-      clock: Time.
-      logger: Takes lines.
-      socket_options: Set on connections to servers and entries.
-      callers: The socket on which callers' connections already arrive; one is
-        opened if there is none.
+      platform: Adapter of the platform.
+      instance: Id of this process, new with each start.
+      clock: Clock of the process.
+      logger: Logger of the process.
+      socket_options: Options of connections to servers and entries.
+      callers: Listening socket that already accepts connections of callers; if
+        None, one is opened.
       started_at: When the process started, before it blocked `SIGNALS`, ms.
     """
     logs.quiet_libraries()
     entry = _make_entry(platform, instance, clock, logger, socket_options,
                         started_at)
     entry.listeners[0].listening_socket = callers
-    note_running = functools.partial(departures.note_running,
-                                     entry.forwarder.departure,
-                                     platform.settings.bounds.grace_ms)
-    note_running(started_at)
+    record_absent = functools.partial(departures.record_sigterm_absent,
+                                      entry.forwarder.departure,
+                                      platform.settings.bounds.grace_ms)
+    record_absent(started_at)
     for listener in entry.listeners:
         listener.prepare()
-        _start(listener.serve)
+        _start_thread(listener.serve)
     _serve_metrics(entry)
     following.restart_following(entry.follower)
-    _start(functools.partial(_tick, entry))
-    _start(functools.partial(reporting.report_forever, entry.reporter))
-    _start(functools.partial(subscriptions.request_news_forever,
-                             entry.follower))
+    _start_thread(functools.partial(_tick_forever, entry))
+    _start_thread(functools.partial(reporting.report_forever, entry.reporter))
+    _start_thread(
+        functools.partial(subscriptions.request_news_forever, entry.follower))
     logger.info('entry_started', callers=platform.settings.callers)
-    # Threads that are started after this could receive signals.
+    # Threads started from here on could receive signals.
     arrived = signals.watch(*SIGNALS)
-    while signals.receive(arrived, clock, note_running) != signal.SIGTERM:
+    while signals.receive(arrived, clock, record_absent) != signal.SIGTERM:
         logger.info('reload_asked')
-    _finish(entry)
+    _shut_down(entry)
     logger.info('entry_stopped')
 
 
-def _start(work: Callable[[], object]) -> None:
-    threading.Thread(target=work, daemon=True).start()
+def _start_thread(run_thread: Callable[[], object]) -> None:
+    threading.Thread(target=run_thread, daemon=True).start()
 
 
 def _make_entry(platform: ports.Platform, instance: str, clock: clocks.Clock,
@@ -165,23 +170,24 @@
     entry = Entry(platform, clock, logger, forwarder, shutdowns.RequestCount(),
                   requestmetrics.RequestMetrics(clock))
     owned = controlstate.ControlState(instance)
-    entry.pace = owned.timing
+    entry.actor_timing = owned.timing
     entry.actor = control.Control.start(
         owned,
         forwarder,
         platform,
         logger,
         lambda: following.restart_following(entry.follower),
-        wake=entry.hurry.set)
+        request_tick=entry.tick_requested.set)
     entry.reporter = reporting.Reporter(
         instance, forwarder,
-        httpclient.Client(clock, PEER_CONNECTIONS, socket_options),
+        httpclient.Client(clock, MAX_PEER_CONNECTIONS, socket_options),
         entry.actor.tell)
     entry.follower = storecopy.StoreFollower(
-        ports.make_peer(instance, platform.settings), entry.reporter,
-        platform.store, clock, logger, functools.partial(_take_store, entry),
+        ports.make_peer(instance, platform.settings),
+        entry.reporter, platform.store, clock, logger,
+        functools.partial(_apply_snapshot, entry),
         lambda reason: entry.actor.tell(control.StoreLost(reason)))
-    entry.follower.probe = lambda: entry.actor.tell(control.Probe())
+    entry.follower.probe = lambda: entry.actor.tell(control.RenewEntryLease())
     platform.store.on_restore(
         functools.partial(following.restart_with_full_read, entry.follower))
     entry.reporter.on_news = functools.partial(storecopy.apply_news,
@@ -192,45 +198,49 @@
         listening.make_caller_gateway(
             platform.header_format,
             functools.partial(forwarding.forward, forwarder),
-            functools.partial(_note, entry), entry.count,
-            lambda: _find_limits(entry).max_body_bytes, clock), CALLER_THREADS,
-        log_error)
+            functools.partial(_record_outcome, entry), entry.request_count,
+            lambda: _find_caller_limits(entry).max_body_bytes, clock),
+        CALLER_THREAD_LIMITS, log_error)
     ready = listening.make_listener(
         platform.settings.ready,
         listening.make_page_gateway(
-            {READY_PATH: functools.partial(_show_ready, entry)}, clock),
-        PAGE_THREADS, log_error)
+            {READY_PATH: functools.partial(_render_readiness, entry)}, clock),
+        PAGE_THREAD_LIMITS, log_error)
     peers = listening.make_listener(
         platform.settings.control,
         listening.make_page_gateway(
             {
-                reporting.PATH: functools.partial(_take_report, entry),
-                reporting.STATE_PATH: functools.partial(_show_state, entry),
-                subscriptions.PATH: functools.partial(_tell_news, entry),
-                permits.PATH: functools.partial(_issue_permit, entry),
-            }, clock, functools.partial(_note_write, logger), REPLY_WRITE_MS),
-        PEER_THREADS, log_error)
+                reporting.PATH:
+                    functools.partial(_handle_report, entry),
+                reporting.STATE_PATH:
+                    functools.partial(_render_state, entry),
+                subscriptions.PATH:
+                    functools.partial(_answer_news_request, entry),
+                permits.PATH:
+                    functools.partial(_issue_permit, entry),
+            }, clock, functools.partial(_log_slow_write, logger),
+            REPLY_WRITE_TIMEOUT_MS), PEER_THREAD_LIMITS, log_error)
     entry.listeners = [callers, ready, peers]
     return entry
 
 
-def _note_write(logger: logs.Logger, peer: str, size: int,
-                took_ms: float) -> None:
-    """Tells of a peer that takes its reply slowly, and so holds a thread."""
+def _log_slow_write(logger: logs.Logger, peer: str, byte_count: int,
+                    took_ms: float) -> None:
+    """Logs a peer that reads its reply slowly and so occupies a thread."""
     if took_ms >= SLOW_WRITE_MS:
         logger.info('reply_held',
                     peer=peer,
-                    reply_bytes=size,
+                    reply_bytes=byte_count,
                     took_ms=round(took_ms))
 
 
 def _serve_metrics(entry: Entry) -> None:
-    """Serves metrics; an entry works without them if their port is taken."""
+    """Serves metrics; the entry runs without them if their port is in use."""
     address = entry.platform.settings.metrics
     listener = listening.make_listener(
         address,
         listening.make_page_gateway(
-            {METRICS_PATH: functools.partial(_show_metrics, entry)},
+            {METRICS_PATH: functools.partial(_render_metrics, entry)},
             entry.clock), (1, 1), listening.make_error_log(entry.logger))
     try:
         listener.prepare()
@@ -239,14 +249,14 @@
                              address=address,
                              reason=str(error))
         return
-    _start(listener.serve)
+    _start_thread(listener.serve)
 
 
-def _show_metrics(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
+def _render_metrics(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
     snapshot = entry.forwarder.snapshot
     gauges = {
         'inside':
-            float(entry.count.inside),
+            float(entry.request_count.in_flight),
         'servers':
             float(sum(len(rows) for rows in snapshot.servers.values())),
         'entries':
@@ -283,33 +293,33 @@
             requests.find_age(entry.forwarder,
                               entry.forwarder.departure.checked_at),
         'control_late_ms':
-            entry.pace.tick_delay_ms,
+            entry.actor_timing.tick_delay_ms,
         'control_steps':
-            float(entry.pace.steps),
+            float(entry.actor_timing.steps),
         'control_step_ms':
-            entry.pace.step_ms,
+            entry.actor_timing.step_ms,
     }
     calls = entry.platform.store.count_calls()
     gauges |= {f'store_calls_{kind}': float(calls[kind]) for kind in calls}
-    return 200, entry.measures.render(gauges), 'text/plain; version=0.0.4'
+    return 200, entry.metrics.render(gauges), 'text/plain; version=0.0.4'
 
 
-def _find_limits(entry: Entry) -> tables.CallerLimits:
+def _find_caller_limits(entry: Entry) -> tables.CallerLimits:
     configuration = entry.forwarder.snapshot.configuration
     if configuration is None:
         return tables.CallerLimits()
     return configuration.limits
 
 
-def _note(entry: Entry, request: requests.Request,
-          outcome: requests.Outcome) -> None:
-    """Writes a line for a request that no server answered."""
+def _record_outcome(entry: Entry, request: requests.Request,
+                    outcome: requests.Outcome) -> None:
+    """Records the outcome of a request; logs it if no server answered."""
     age_ms = round(entry.clock.now() - request.arrived_at)
     if isinstance(outcome, transport.Answer):
-        entry.measures.record('answered', str(outcome.status), age_ms)
+        entry.metrics.record('answered', str(outcome.status), age_ms)
         return
     if isinstance(outcome, exchange.CallerDisconnected):
-        entry.measures.record('left', 'caller-left', age_ms)
+        entry.metrics.record('left', 'caller-left', age_ms)
         entry.logger.info('caller_left',
                           request=request.fields.request_id,
                           where=outcome.where,
@@ -317,8 +327,8 @@
                           age_ms=age_ms)
         return
     refused = isinstance(outcome, outcomes.NotRun)
-    entry.measures.record('not-run' if refused else 'unknown',
-                          outcome.reason.value, age_ms)
+    entry.metrics.record('not-run' if refused else 'unknown',
+                         outcome.reason.value, age_ms)
     entry.logger.info('request_refused' if refused else 'request_failed',
                       request=request.fields.request_id,
                       reason=outcome.reason.value,
@@ -327,10 +337,11 @@
                       age_ms=age_ms)
 
 
-def _show_ready(entry: Entry, unused_body: bytes) -> tuple[int, bytes, str]:
+def _render_readiness(entry: Entry,
+                      unused_body: bytes) -> tuple[int, bytes, str]:
     snapshot = entry.forwarder.snapshot
     ready = (snapshot.configuration is not None and
-             not entry.forwarder.departure.asked and
+             not entry.forwarder.departure.sigterm_received and
              requests.is_server_data_recent(entry.forwarder) and
              requests.is_configuration_recent(entry.forwarder) and
              all(name in snapshot.assignments
@@ -338,25 +349,25 @@
     return (200 if ready else 503), b'', 'text/plain'
 
 
-def _show_state(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
-    """Tells an entry that can't reach the store what has changed."""
+def _render_state(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
+    """Returns changes of the store to an entry that can't reach it."""
     if body and not body.isdigit():
         return 400, b'', 'text/plain'
     dump = entry.platform.store.dump(int(body or 0))
     return 200, dump, 'application/octet-stream'
 
 
-def _tell_news(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
-    asked = reports.decode_news_request(body)
-    if asked is None:
+def _answer_news_request(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
+    news_request = reports.decode_news_request(body)
+    if news_request is None:
         return 400, b'', 'text/plain'
-    reply = subscriptions.handle_news_request(entry.follower, asked)
+    reply = subscriptions.handle_news_request(entry.follower, news_request)
     if reply is None:
         return 503, b'', 'text/plain'
     return 200, reports.encode_news(reply), 'application/json'
 
 
-def _take_report(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
+def _handle_report(entry: Entry, body: bytes) -> tuple[int, bytes, str]:
     report = reports.decode_report(body)
     if report is None:
         return 400, b'', 'text/plain'
@@ -373,73 +384,77 @@
     return 200, reports.encode_permit(reply), 'application/json'
 
 
-def _take_store(entry: Entry, found: ports.StoreSnapshot, heard: bool) -> None:
+def _apply_snapshot(entry: Entry, snapshot: ports.StoreSnapshot,
+                    from_peer: bool) -> None:
     number = staleness.add_pending_change(entry.forwarder.freshness)
-    entry.actor.tell(control.StoreSeen(found, heard, number))
-    if found.configuration is None:
+    entry.actor.tell(control.StoreUpdate(snapshot, from_peer, number))
+    if snapshot.configuration is None:
         return
-    limits = found.configuration.limits
+    limits = snapshot.configuration.limits
     callers = entry.listeners[0]
     callers.timeout = (limits.idle_timeout_ms / clocks.MS_PER_S +
                        listening.IDLE_TIMEOUT_MARGIN_S)
     callers.max_request_header_size = limits.max_header_bytes
 
 
-def _tick(entry: Entry) -> None:
+def _tick_forever(entry: Entry) -> None:
     while True:
-        if entry.hurry.wait(control.TICK_MS / clocks.MS_PER_S):
-            clocks.pause(entry.pace.pause_ms)
-            entry.hurry.clear()
+        if entry.tick_requested.wait(control.TICK_INTERVAL_MS /
+                                     clocks.MS_PER_S):
+            clocks.pause(entry.actor_timing.pause_ms)
+            entry.tick_requested.clear()
         entry.actor.tell(control.Tick(entry.clock.now()))
         following.restart_if_silent(entry.follower)
         subscriptions.ask_random_peers(entry.follower)
 
 
-def _finish(entry: Entry) -> None:
-    """Ends without interrupting a request."""
-    noticed_at = entry.clock.now()
+def _shut_down(entry: Entry) -> None:
+    """Shuts down, interrupting requests only if the grace period ends."""
+    received_at = entry.clock.now()
     departure = entry.forwarder.departure
-    departure.asked = True
+    departure.sigterm_received = True
     entry.logger.info('entry_leaving',
-                      inside=entry.count.inside,
-                      late_ms=round(noticed_at - departure.checked_at),
-                      left_ms=round(_find_left(entry, departure.ends_at)))
+                      inside=entry.request_count.in_flight,
+                      late_ms=round(received_at - departure.checked_at),
+                      left_ms=round(_find_remaining(entry, departure.ends_at)))
     handed_over = threading.Event()
-    entry.actor.tell(control.Leave(handed_over))
-    entry.count.closing = True
-    while entry.clock.now() < min(noticed_at + NOTICE_MS, departure.ends_at):
-        clocks.pause(_LOOK_MS)
-    # Takes no new connections, closes idle ones and waits for the others. The
-    # library would measure a time-out by the time of day, which may jump.
+    entry.actor.tell(control.PrepareShutdown(handed_over))
+    entry.request_count.close_connections = True
+    while entry.clock.now() < min(received_at + BALANCER_NOTICE_MS,
+                                  departure.ends_at):
+        clocks.pause(_POLL_INTERVAL_MS)
+    # Accepts no new connections, closes idle ones and waits for the others. The
+    # library would measure a timeout by the wall clock, which may jump.
     callers = entry.listeners[0]
     callers.shutdown_timeout = None
     stopping = threading.Thread(target=callers.stop, daemon=True)
     stopping.start()
-    stopping.join(_find_left(entry, departure.ends_at) / clocks.MS_PER_S)
-    # While the store is away nobody else can renew the servers' grants, so this
-    # goes on for as long as the process may live.
+    stopping.join(_find_remaining(entry, departure.ends_at) / clocks.MS_PER_S)
+    # While the store is unavailable, no other entry can renew the servers'
+    # grants, so this entry continues until shortly before it is killed.
     grace_ms = entry.platform.settings.bounds.grace_ms
-    latest_end_at = noticed_at + grace_ms - departures.MARGIN_MS
-    handed_over.wait(_find_left(entry, latest_end_at) / clocks.MS_PER_S)
+    latest_end_at = received_at + grace_ms - departures.KILL_MARGIN_MS
+    handed_over.wait(_find_remaining(entry, latest_end_at) / clocks.MS_PER_S)
     _log_interrupted(entry)
-    entry.logger.info('entry_finished', inside=entry.count.inside)
+    entry.logger.info('entry_finished', inside=entry.request_count.in_flight)
 
 
-def _find_left(entry: Entry, ends_at: float) -> float:
-    """Returns the time until the last answers have been written, ms."""
-    return max(0.0, ends_at + LAST_ANSWERS_MS - entry.clock.now())
+def _find_remaining(entry: Entry, ends_at: float) -> float:
+    """Returns the time until the final answers must be written, ms."""
+    return max(0.0, ends_at + FINAL_ANSWERS_MS - entry.clock.now())
 
 
 def _log_interrupted(entry: Entry) -> None:
-    """Writes a line for each request that the end of this process cuts."""
+    """Logs each request that the end of this process interrupts."""
     now = entry.clock.now()
-    for cut in list(entry.forwarder.in_flight):
-        worked_ms = round(now - cut.sent_at) if cut.server else 0
+    for interrupted in list(entry.forwarder.in_flight):
+        worked_ms = round(now -
+                          interrupted.sent_at) if interrupted.server else 0
         entry.logger.warning('request_interrupted',
-                             request=cut.request.fields.request_id,
-                             path=cut.request.path,
-                             service=cut.service.name,
-                             server=cut.server,
+                             request=interrupted.request.fields.request_id,
+                             path=interrupted.request.path,
+                             service=interrupted.service.name,
+                             server=interrupted.server,
                              worked_ms=worked_ms,
-                             age_ms=round(now - cut.request.arrived_at),
-                             left_ms=round(cut.deadline_at - now))
+                             age_ms=round(now - interrupted.request.arrived_at),
+                             left_ms=round(interrupted.deadline_at - now))
--- a/lentilmoor/edge/forwarding.py
+++ b/lentilmoor/edge/forwarding.py
@@ -57,7 +57,7 @@
     """Forwards a request and returns its outcome."""
     # The body may have arrived long after the headers.
     received_at = forwarder.clock.now()
-    return (departures.check_arrival(forwarder.departure, received_at) or
+    return (departures.refuse_late_arrival(forwarder.departure, received_at) or
             _route(forwarder, request))
 
 
@@ -210,9 +210,9 @@
     Returns:
       The refusal; None if the request may be sent.
     """
-    return departures.check_send(forwarder.departure, run.deadline_at,
-                                 run.idempotent, choice.expected_ms,
-                                 forwarder.clock.now())
+    return departures.refuse_late_send(forwarder.departure, run.deadline_at,
+                                       run.idempotent, choice.expected_ms,
+                                       forwarder.clock.now())
 
 
 def _check_retry(forwarder: requests.Forwarder, run: requests.Run,
@@ -245,8 +245,8 @@
     request, server = run.request, choice.server
     state, pool = _begin_attempt(forwarder, run.service, server)
     sent_at = forwarder.clock.now()
-    attempt_deadline_at = min(run.deadline_at,
-                              departures.find_end(forwarder.departure, sent_at))
+    attempt_deadline_at = min(
+        run.deadline_at, departures.find_deadline(forwarder.departure, sent_at))
 
     def make_headers() -> dict[str, str] | None:
         # Opening a connection may take 0.5 s on a small machine; the server's
--- a/lentilmoor/edge/listening.py
+++ b/lentilmoor/edge/listening.py
@@ -155,7 +155,7 @@
                 outcome = forward(request)
                 record_outcome(request, outcome)
                 # Read after forwarding, as a shutdown may have begun meanwhile.
-                self.req.close_connection |= request_count.closing
+                self.req.close_connection |= request_count.close_connections
                 _write_outcome(self.req, request, outcome)
             finally:
                 request_count.leave()
--- a/lentilmoor/edge/roles.py
+++ b/lentilmoor/edge/roles.py
@@ -157,12 +157,12 @@
                                link=result.link,
                                took_ms=round(now - sent_at),
                                in_force_ms=round(in_force_ms))
-    context.states.note('grant_answer',
-                        grant.server.id,
-                        result.outcome,
-                        service=grant.service,
-                        fence=grant.fence,
-                        first=grant.key_range.first)
+    context.states.log_change('grant_answer',
+                              grant.server.id,
+                              result.outcome,
+                              service=grant.service,
+                              fence=grant.fence,
+                              first=grant.key_range.first)
 
 
 def _handle_release_result(context: controlstate.Context,
--- a/tests/test_edge_handover.py
+++ b/tests/test_edge_handover.py
@@ -93,14 +93,14 @@
             self.time.advance(_STEP_MS)
             while self._events and self._events[0][0] <= self.time.at:
                 take = heapq.heappop(self._events)[2]
-                self.actor.on_receive(control.Returned(take))
+                self.actor.on_receive(control.CallCompleted(take))
             self._deliver_snapshot()
             self.actor.on_receive(control.Tick(self.time.at))
 
     def stop(self) -> threading.Event:
         """Asks the entry to stop; returns the event of its handover."""
         done = threading.Event()
-        self.actor.on_receive(control.Leave(done))
+        self.actor.on_receive(control.PrepareShutdown(done))
         return done
 
     def find_longest_gap(self, since: float) -> float:
@@ -134,7 +134,7 @@
             _SERVICE: ports.Peer('e1', 'a:1', registration_revision=1)
         }
         self.actor.on_receive(
-            control.StoreSeen(
+            control.StoreUpdate(
                 ports.StoreSnapshot(
                     configuration, servers, coordinators, {}, dict(self.peers),
                     revisions.combine(self.era, next(self._numbers)))))
