--- a/lentilmoor/platform/__main__.py
+++ b/lentilmoor/platform/__main__.py
@@ -8,7 +8,7 @@
 import sys
 
 from lentilmoor.edge import sockets
-from lentilmoor.platform import fields
+from lentilmoor.platform import settingsfile
 
 
 def _take_callers(found: dict[str, str]) -> socket.socket | None:
@@ -17,7 +17,7 @@
     The program tells why, when it tries again.
     """
     try:
-        return sockets.open_listener(found.get(fields.CALLERS, ''))
+        return sockets.open_listener(found.get(settingsfile.CALLERS, ''))
     except (OSError, ValueError):
         return None
 
@@ -25,7 +25,7 @@
 def _read_fields() -> dict[str, str]:
     """Returns the settings; none if the file can't be read, as above."""
     try:
-        return fields.split_fields(fields.read_text())
+        return settingsfile.split_fields(settingsfile.read_text())
     except (OSError, ValueError):
         return {}
 
--- a/lentilmoor/platform/links.py
+++ b/lentilmoor/platform/grantconnections.py
@@ -27,7 +27,7 @@
 # Closing a connection resets it, also when the process is killed. Otherwise the
 # system would go on sending what was given up, for as long as its path is cut.
 ABORT_ON_CLOSE = (socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
-OPTIONS = (*store.KEEPALIVE, ABORT_ON_CLOSE)
+OPTIONS = (*store.KEEPALIVE_OPTIONS, ABORT_ON_CLOSE)
 
 _Answer = ownership.CallOutcome
 
--- a/lentilmoor/platform/dialect.py
+++ b/lentilmoor/platform/headerformat.py
@@ -28,7 +28,7 @@
     for name in ('Content-Length', 'Expect', _EXPECTED_SERVER, _PATIENCE_MS))
 
 
-def make_dialect() -> ports.HeaderFormat:
+def make_header_format() -> ports.HeaderFormat:
     """Returns the platform's names and forms."""
     return ports.HeaderFormat(_read_caller, _mark, _read_answer, _DROPPED)
 
--- a/lentilmoor/platform/program.py
+++ b/lentilmoor/platform/program.py
@@ -12,10 +12,10 @@
 from lentilmoor import signals
 from lentilmoor.edge import entry
 from lentilmoor.edge import ports
-from lentilmoor.platform import dialect
-from lentilmoor.platform import fields
+from lentilmoor.platform import headerformat
 from lentilmoor.platform import servers
 from lentilmoor.platform import settings as settings_module
+from lentilmoor.platform import settingsfile
 from lentilmoor.platform import store
 
 _EXIT_REFUSED = 2
@@ -31,10 +31,12 @@
       An exit code, if it could not start.
     """
     try:
-        settings, address = settings_module.parse_settings(fields.read_text())
+        settings, address = settings_module.parse_settings(
+            settingsfile.read_text())
     except (OSError, exceptions.SettingsError) as error:
-        print(f'{fields.BOOT_VARIABLE}={fields.find_path()}: {error}',
-              file=sys.stderr)
+        print(
+            f'{settingsfile.BOOT_VARIABLE}={settingsfile.find_path()}: {error}',
+            file=sys.stderr)
         return _EXIT_REFUSED
     clock = clocks.make_suspend_clock()
     started_at = clock.now()
@@ -45,9 +47,9 @@
     times = store.make_watch_times(settings.limits, settings.link_mbps)
     platform = ports.Platform(
         settings, store.connect_store(address, clock, logger, times),
-        servers.connect_servers(clock), dialect.make_dialect())
-    entry.run(platform, instance, clock, logger, store.KEEPALIVE, callers,
-              started_at)
+        servers.connect_servers(clock), headerformat.make_header_format())
+    entry.run(platform, instance, clock, logger, store.KEEPALIVE_OPTIONS,
+              callers, started_at)
     lines.close()
     # Threads that wait for outside calls must not hold the process.
     os._exit(0)  # pylint: disable=protected-access
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -12,7 +12,7 @@
 from lentilmoor import outcomes
 from lentilmoor.edge import ownership
 from lentilmoor.edge import ports
-from lentilmoor.platform import links
+from lentilmoor.platform import grantconnections
 
 _GRANT = '/-/grant'
 _RELEASE = '/-/release'
@@ -31,8 +31,8 @@
     Args:
       clock: This process's time.
     """
-    pool = links.Links(clock)
-    caller = httpcalls.Caller(clock, 4, links.OPTIONS)
+    pool = grantconnections.Links(clock)
+    caller = httpcalls.Caller(clock, 4, grantconnections.OPTIONS)
 
     def call_release(address: str, fields: Mapping,
                      timeout_ms: float) -> httpcalls.Reply | outcomes.Failed:
@@ -66,7 +66,8 @@
     return ports.ServerCalls(grant, release, probe)
 
 
-def _grant_over(pool: links.Links, link: links.Link, action: ownership.Grant,
+def _grant_over(pool: grantconnections.Links, link: grantconnections.Link,
+                action: ownership.Grant,
                 clock: clocks.Clock) -> ownership.GrantResult:
     """Sends a grant over a link, whose lock is held."""
     until = clock.now() + ownership.GRANT_TIMEOUT_MS
@@ -91,14 +92,14 @@
 def _post(connection: http_connection.HTTPConnection, body: bytes, until: float,
           clock: clocks.Clock) -> int:
     """Sends a grant; returns the status of its answer."""
-    connection.timeout = links.find_left_s(clock, until)
+    connection.timeout = grantconnections.find_left_s(clock, until)
     connection.request('POST',
                        _GRANT,
                        body,
                        _HEADERS,
                        preload_content=False,
                        decode_content=False)
-    connection.timeout = links.find_left_s(clock, until)
+    connection.timeout = grantconnections.find_left_s(clock, until)
     response = connection.getresponse()
     response.read()
     return response.status
--- a/lentilmoor/platform/settings.py
+++ b/lentilmoor/platform/settings.py
@@ -9,7 +9,7 @@
 from lentilmoor import exceptions
 from lentilmoor.edge import ports
 from lentilmoor.edge import staleness
-from lentilmoor.platform import fields as fields_module
+from lentilmoor.platform import settingsfile as fields_module
 
 # Where the deploy file says that metrics are.
 METRICS_PORT = 9464
--- a/lentilmoor/platform/store.py
+++ b/lentilmoor/platform/store.py
@@ -28,7 +28,7 @@
 CALL_MS = 1_200.0
 # A page of a whole read: one with a large configuration takes long over a slow
 # link that others use too.
-PAGE_MS = 3_000.0
+PAGE_TIMEOUT_MS = 3_000.0
 # The largest value that the store takes, as text, in Mbit.
 _VALUE_MBITS = 11.2
 # Times that a conditional write without an answer is sent again.
@@ -36,7 +36,7 @@
 
 # A watch whose connection went silent is noticed after about 3 s by probes of
 # the kernel, which cost no call.
-KEEPALIVE = (
+KEEPALIVE_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 1),
@@ -98,8 +98,8 @@
         self._clock = clock
         self._restored: Callable[[], None] = lambda: None
         # A waiting watch must not keep other calls from their connection.
-        self._caller = httpcalls.Caller(clock, 4, KEEPALIVE)
-        self._watcher = httpcalls.Caller(clock, 1, KEEPALIVE)
+        self._caller = httpcalls.Caller(clock, 4, KEEPALIVE_OPTIONS)
+        self._watcher = httpcalls.Caller(clock, 1, KEEPALIVE_OPTIONS)
         self.counts: collections.Counter[str] = collections.Counter()
 
     def call(self,
@@ -268,7 +268,7 @@
 def _read_entries(client: _Client,
                   view: views.View) -> list[ports.Peer] | outcomes.Failed:
     found = pages.read_all(
-        lambda target: client.call('GET', target, timeout_ms=PAGE_MS),
+        lambda target: client.call('GET', target, timeout_ms=PAGE_TIMEOUT_MS),
         views.ENTRIES,
         stale=True)
     if isinstance(found, outcomes.Failed):
@@ -365,8 +365,8 @@
     view = views.View(clock, logger)
 
     def load() -> ports.StoreSnapshot | outcomes.Failed:
-        found = pages.read_all(
-            lambda target: client.call('GET', target, timeout_ms=PAGE_MS))
+        found = pages.read_all(lambda target: client.call(
+            'GET', target, timeout_ms=PAGE_TIMEOUT_MS))
         if isinstance(found, outcomes.Failed):
             return found
         known = view.find_revision()
@@ -378,7 +378,9 @@
 
     def load_configuration() -> ports.StoreSnapshot | outcomes.Failed:
         query = urllib.parse.urlencode({'Key': views.CONFIGURATION})
-        answer = client.call('GET', f'/-/kv-key?{query}', timeout_ms=PAGE_MS)
+        answer = client.call('GET',
+                             f'/-/kv-key?{query}',
+                             timeout_ms=PAGE_TIMEOUT_MS)
         if isinstance(answer, outcomes.Failed):
             return answer
         return view.apply([views.read_item(answer.fields, answer.era)], 0)
--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -31,7 +31,7 @@
 SUSPECTS = 'lentilmoor/suspect/'
 
 # Changes that are kept for others: some minutes of a busy day's.
-MOST_NEWS = 500
+MAX_NEWS = 500
 # Deleted keys whose revision is kept, so that no older change brings them back.
 MOST_DELETED = 1_000
 # Low, as many ask one large machine at once, and it is the link of who asks
@@ -316,7 +316,7 @@
     def _note_news(self, item: Item) -> None:
         self._told.clear()
         self._news.append(item)
-        while len(self._news) > MOST_NEWS:
+        while len(self._news) > MAX_NEWS:
             dropped = self._news.popleft()
             self._news_since = max(self._news_since, dropped.revision)
 
--- a/tests/copyfleets.py
+++ b/tests/copyfleets.py
@@ -156,7 +156,7 @@
 
         def load_configuration():
             if self.faults.configuration_unreadable:
-                time.sleep(store.PAGE_MS / clocks.MS_PER_S)
+                time.sleep(store.PAGE_TIMEOUT_MS / clocks.MS_PER_S)
                 return outcomes.Failed(outcomes.Reason.TIMED_OUT)
             return connected.load_configuration()
 
--- a/tests/test_edge_following.py
+++ b/tests/test_edge_following.py
@@ -100,7 +100,7 @@
             self.hub.encode_news(self.first.revision - 1, _MAX_BYTES))
         self.assertIsNotNone(
             self.hub.encode_news(self.first.revision, _MAX_BYTES))
-        for number in range(views.MOST_NEWS + 5):
+        for number in range(views.MAX_NEWS + 5):
             self.standin.put('lentilmoor/entry/e',
                              f'["e{number}", "a:1", false]'.encode())
         self.hub.watch(self.hub_first)
--- a/tests/test_edge_forwarding.py
+++ b/tests/test_edge_forwarding.py
@@ -21,7 +21,7 @@
 from lentilmoor.edge import requests
 from lentilmoor.edge import staleness
 from lentilmoor.edge import tables
-from lentilmoor.platform import dialect
+from lentilmoor.platform import headerformat
 from standins import platform_server
 from standins import platform_store
 
@@ -62,7 +62,8 @@
         settings = ports.Settings('e1', 'a', '', '', '', '', (), 1.0, 1_000.0,
                                   _BOUNDS)
         clock = clocks.make_suspend_clock()
-        platform = ports.Platform(settings, None, None, dialect.make_dialect())
+        platform = ports.Platform(settings, None, None,
+                                  headerformat.make_header_format())
         self.forwarder = requests.Forwarder(clock, platform,
                                             logs.make_logger('test'), _RULES)
         staleness.record_known_times(self.forwarder.freshness, math.inf,
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -12,8 +12,8 @@
 from lentilmoor.edge import ports
 from lentilmoor.edge import revisions
 from lentilmoor.edge import tables
-from lentilmoor.platform import dialect
 from lentilmoor.platform import documents
+from lentilmoor.platform import headerformat
 from lentilmoor.platform import settings
 from lentilmoor.platform import store
 from standins import platform_store
@@ -123,7 +123,7 @@
 class DialectTest(unittest.TestCase):
 
     def setUp(self):
-        self.dialect = dialect.make_dialect()
+        self.dialect = headerformat.make_header_format()
 
     def test_callers_headers_that_make_no_sense_are_taken_as_absent(self):
         fields = self.dialect.parse_caller_headers({
