--- a/lentilmoor/platform/store.py
+++ b/lentilmoor/platform/store.py
@@ -25,14 +25,14 @@
 from lentilmoor.platform import views
 
 # The store answers in 4 ms, and 60 times slower on its slow days.
-CALL_MS = 1_200.0
+CALL_TIMEOUT_MS = 1_200.0
 # A page of a whole read: one with a large configuration takes long over a slow
 # link that others use too.
 PAGE_TIMEOUT_MS = 3_000.0
 # The largest value that the store takes, as text, in Mbit.
-_VALUE_MBITS = 11.2
+_MAX_VALUE_MBITS = 11.2
 # Times that a conditional write without an answer is sent again.
-TRIES = 4
+MAX_WRITE_ATTEMPTS = 4
 
 # A watch whose connection went silent is noticed after about 3 s by probes of
 # the kernel, which cost no call.
@@ -102,17 +102,20 @@
         self._watcher = httpcalls.Caller(clock, 1, KEEPALIVE_OPTIONS)
         self.counts: collections.Counter[str] = collections.Counter()
 
-    def call(self,
-             method: str,
-             target: str,
-             body: Mapping | None = None,
-             timeout_ms: float = CALL_MS) -> pages.Answer | outcomes.Failed:
+    def call(
+            self,
+            method: str,
+            target: str,
+            body: Mapping | None = None,
+            timeout_ms: float = CALL_TIMEOUT_MS
+    ) -> pages.Answer | outcomes.Failed:
         """Makes a call; returns a successful answer."""
         self.counts[_find_kind(target)] += 1
         data = None if body is None else json.dumps(body).encode()
-        caller = self._caller if timeout_ms == CALL_MS else self._watcher
+        caller = (self._caller
+                  if timeout_ms == CALL_TIMEOUT_MS else self._watcher)
         # One that waits for a change says nothing before it is over.
-        if timeout_ms == CALL_MS:
+        if timeout_ms == CALL_TIMEOUT_MS:
             self._note_unanswered(self._clock.now())
         reply = caller.call(
             self._address,
@@ -141,7 +144,7 @@
             if self.unanswered_at is None:
                 self.unanswered_at = sent_at
 
-    def find_silence(self) -> float:
+    def find_unanswered_ms(self) -> float:
         """Returns for how long the store has answered nothing, ms."""
         unanswered_at = self.unanswered_at
         return (0.0 if unanswered_at is None else self._clock.now() -
@@ -174,15 +177,15 @@
         """Sets what is called when the era has risen."""
         self._restored = restored
 
-    def is_outdated(self, revision: int) -> bool:
+    def is_from_earlier_era(self, revision: int) -> bool:
         """Returns whether the store was restored since it told a revision.
 
         It may have given the number out again.
         """
         return self.era is not None and revisions.find_era(revision) < self.era
 
-    def swap(self, key: str, value: bytes, revision: int,
-             lease: int) -> int | outcomes.Failed:
+    def compare_and_swap(self, key: str, value: bytes, revision: int,
+                         lease: int) -> int | outcomes.Failed:
         """Writes a key if it is at a revision; returns the new revision.
 
         A call without an answer may be carried out later; it is repeated
@@ -206,8 +209,8 @@
             'Delete': [],
         }
         unanswered: outcomes.Failed | None = None
-        for _ in range(TRIES):
-            if revision and self.is_outdated(revision):
+        for _ in range(MAX_WRITE_ATTEMPTS):
+            if revision and self.is_from_earlier_era(revision):
                 return outcomes.Failed(_Reason.CONFLICT, 'store restored')
             answer = self.call('POST', '/-/kv-txn', body)
             if not isinstance(answer, outcomes.Failed):
@@ -231,7 +234,7 @@
 
     def delete(self, key: str, revision: int) -> outcomes.Failed | None:
         """Deletes a key if it is at a revision."""
-        if self.is_outdated(revision):
+        if self.is_from_earlier_era(revision):
             return outcomes.Failed(_Reason.CONFLICT, 'store restored')
         row = {'Key': key, 'Rev': revisions.find_number(revision)}
         answer = self.call('POST', '/-/kv-txn', {
@@ -278,9 +281,9 @@
 
 def _save_suspect(client: _Client, clock: clocks.Clock,
                   suspect: ports.SavedSuspect) -> outcomes.Failed | None:
-    done = client.swap(views.SUSPECTS + suspect.fingerprint.hex(),
-                       documents.write_suspect(suspect, clock),
-                       suspect.revision, 0)
+    done = client.compare_and_swap(views.SUSPECTS + suspect.fingerprint.hex(),
+                                   documents.write_suspect(suspect, clock),
+                                   suspect.revision, 0)
     return done if isinstance(done, outcomes.Failed) else None
 
 
@@ -311,7 +314,7 @@
       link_mbps: Speed of this machine's link, Mbit/s: an answer may hold a
         value that takes long over it.
     """
-    transfer_ms = _VALUE_MBITS / link_mbps * clocks.MS_PER_S
+    transfer_ms = _MAX_VALUE_MBITS / link_mbps * clocks.MS_PER_S
     return WatchTimes(
         limits.watch_wait_ms,
         limits.watch_wait_ms + limits.watch_reply_ms + transfer_ms)
@@ -324,7 +327,7 @@
     def watch(
             before: ports.StoreSnapshot
     ) -> ports.StoreSnapshot | outcomes.Failed:
-        if client.is_outdated(before.revision):
+        if client.is_from_earlier_era(before.revision):
             return outcomes.Failed(_Reason.NOT_FOUND, 'store restored')
         query = urllib.parse.urlencode({
             'Prefix': '',
@@ -399,24 +402,25 @@
         answer = client.call('DELETE', f'/-/kv-lease-end/{lease.id}')
         return answer if isinstance(answer, outcomes.Failed) else None
 
-    def take_role(service: str, coordinator: ports.Peer, lease: ports.Lease,
-                  replaced: int) -> outcomes.Failed | None:
-        done = client.swap(views.COORDINATORS + service,
-                           documents.write_peer(coordinator), replaced,
-                           lease.id)
+    def claim_coordination(service: str, coordinator: ports.Peer,
+                           lease: ports.Lease,
+                           replaced: int) -> outcomes.Failed | None:
+        done = client.compare_and_swap(views.COORDINATORS + service,
+                                       documents.write_peer(coordinator),
+                                       replaced, lease.id)
         return done if isinstance(done, outcomes.Failed) else None
 
     def register(peer: ports.Peer,
                  lease: ports.Lease) -> outcomes.Failed | None:
-        done = client.swap(views.ENTRIES + peer.instance,
-                           documents.write_peer(peer), 0, lease.id)
+        done = client.compare_and_swap(views.ENTRIES + peer.instance,
+                                       documents.write_peer(peer), 0, lease.id)
         return done if isinstance(done, outcomes.Failed) else None
 
     def save(assignment: keyranges.Assignment,
              revision: int) -> int | outcomes.Failed:
         value = documents.write_assignment(assignment, secrets.token_hex(8))
-        return client.swap(views.ASSIGNMENTS + assignment.service, value,
-                           revision, 0)
+        return client.compare_and_swap(views.ASSIGNMENTS + assignment.service,
+                                       value, revision, 0)
 
     def load_assignment(
             service: str) -> ports.SavedAssignment | None | outcomes.Failed:
@@ -426,7 +430,7 @@
             missing = answer.reason is _Reason.NOT_FOUND
             return None if missing else answer
         item = views.read_item(answer.fields, answer.era)
-        return views.make_reader(item)(item.value)
+        return views.make_assignment_reader(item)(item.value)
 
     return ports.Store(load=load,
                        load_configuration=load_configuration,
@@ -436,10 +440,10 @@
                        open_lease=open_lease,
                        keep_lease=keep_lease,
                        end_lease=end_lease,
-                       claim_coordination=take_role,
+                       claim_coordination=claim_coordination,
                        register=register,
                        load_assignment=load_assignment,
-                       encode_news=view.tell_news,
+                       encode_news=view.encode_news,
                        merge_news=view.merge_news,
                        dump=view.dump,
                        restore=view.restore,
@@ -448,7 +452,7 @@
                                                       clock),
                        delete_suspect=functools.partial(_forget_suspect,
                                                         client),
-                       find_unanswered_ms=client.find_silence,
+                       find_unanswered_ms=client.find_unanswered_ms,
                        find_era=lambda: client.era or 0,
                        on_restore=client.on_restore,
                        count_calls=lambda: dict(client.counts))
--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -33,18 +33,18 @@
 # Changes that are kept for others: some minutes of a busy day's.
 MAX_NEWS = 500
 # Deleted keys whose revision is kept, so that no older change brings them back.
-MOST_DELETED = 1_000
+MAX_DELETED_KEYS = 1_000
 # Low, as many ask one large machine at once, and it is the link of who asks
 # that is slow.
 COMPRESSION_LEVEL = 1
 # Values of more bytes are compressed before they are written as text.
-PACKED_BYTES = 1_000
+COMPRESSION_THRESHOLD_BYTES = 1_000
 # News that were told last are kept, as most ask for the same.
-MOST_TOLD = 8
+MAX_CACHED_NEWS = 8
 # What a server says of its warming up varies by the way of its heartbeats.
-WARM_SLACK_MS = 1_000.0
+WARMUP_TOLERANCE_MS = 1_000.0
 
-_EMPTY = ports.StoreSnapshot(None, {}, {}, {}, {}, 0)
+_EMPTY_SNAPSHOT = ports.StoreSnapshot(None, {}, {}, {}, {}, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
 
 def _pack_item(item: Item) -> dict[str, object]:
     """Returns an item as it is told to other entries."""
-    if item.value is None or len(item.value) < PACKED_BYTES:
+    if item.value is None or len(item.value) < COMPRESSION_THRESHOLD_BYTES:
         return write_item(item)
     packed = zlib.compress(item.value, COMPRESSION_LEVEL)
     return {
@@ -104,22 +104,22 @@
     def __init__(self, clock: clocks.Clock, logger: logs.Logger):
         self._clock = clock
         self._logger = logger
-        self._everything = _EMPTY
+        self._snapshot = _EMPTY_SNAPSHOT
         # The last entry of each server, by its key's name.
-        self._servers: dict[str, tables.Server] = {}
+        self._servers_by_name: dict[str, tables.Server] = {}
         self._items: dict[str, Item] = {}
-        self._deleted: collections.OrderedDict[str,
-                                               int] = collections.OrderedDict()
+        self._deleted_revisions: collections.OrderedDict[
+            str, int] = collections.OrderedDict()
         # News, and the revision since when they are complete.
         self._news: collections.deque[Item] = collections.deque()
-        self._news_since = 0
-        self._told: dict[tuple[int, float, bool], bytes] = {}
+        self._news_base_revision = 0
+        self._encoded_news: dict[tuple[int, float, bool], bytes] = {}
         self._lock = threading.RLock()
 
     def find_revision(self) -> int:
         """Returns the revision up to which all changes are known."""
         with self._lock:
-            return self._everything.revision
+            return self._snapshot.revision
 
     def replace(self, items: Iterable[Item],
                 revision: int) -> ports.StoreSnapshot:
@@ -132,10 +132,10 @@
         items = list(items)
         with self._lock:
             restored = (revisions.find_era(revision)
-                        > revisions.find_era(self._everything.revision))
+                        > revisions.find_era(self._snapshot.revision))
             if restored or not self._items:
                 self._news.clear()
-                self._news_since = revision
+                self._news_base_revision = revision
             found = {item.key for item in items}
             # Nobody deletes an assignment; news don't tell of a new one.
             gone = [
@@ -157,7 +157,7 @@
           revision: The store's revision up to which there are no others.
         """
         with self._lock:
-            before = self._everything
+            before = self._snapshot
             era = revisions.find_era(before.revision)
             changed = dataclasses.replace(
                 before,
@@ -172,17 +172,17 @@
                         self._is_known(item)):
                     continue
                 if item.key == CONFIGURATION:
-                    changed = self._take_configuration(changed, item)
+                    changed = self._apply_configuration(changed, item)
                     continue
-                self._keep(item)
-                changed = self._take(changed, item)
-            self._everything = changed
+                self._store_item(item)
+                changed = self._apply_item(changed, item)
+            self._snapshot = changed
             return changed
 
-    def tell_news(self,
-                  after: int,
-                  room: float,
-                  version: int | None = None) -> bytes | None:
+    def encode_news(self,
+                    after: int,
+                    room: float,
+                    version: int | None = None) -> bytes | None:
         """Returns what has changed since a revision.
 
         Args:
@@ -195,23 +195,23 @@
           None if it isn't known.
         """
         with self._lock:
-            if after < self._news_since:
+            if after < self._news_base_revision:
                 return None
-            lacks = self._is_newer_than(version)
-            told = self._told.get((after, room, lacks))
+            lacks = self._is_configuration_newer(version)
+            told = self._encoded_news.get((after, room, lacks))
             if told is None:
-                items = _find_last(self._news, after)
+                items = _find_last_changes(self._news, after)
                 if lacks and all(item.key != CONFIGURATION for item in items):
                     items.append(self._items[CONFIGURATION])
                 told = _write_news(items, room)
-                if len(self._told) >= MOST_TOLD:
-                    del self._told[next(iter(self._told))]
-                self._told[after, room, lacks] = told
+                if len(self._encoded_news) >= MAX_CACHED_NEWS:
+                    del self._encoded_news[next(iter(self._encoded_news))]
+                self._encoded_news[after, room, lacks] = told
             return told
 
-    def _is_newer_than(self, version: int | None) -> bool:
+    def _is_configuration_newer(self, version: int | None) -> bool:
         """Returns whether the configuration is newer than a version."""
-        known = self._everything.configuration
+        known = self._snapshot.configuration
         return (version is not None and known is not None and
                 known.version > version and CONFIGURATION in self._items)
 
@@ -233,11 +233,9 @@
             is too long ago to tell.
         """
         with self._lock:
-            fields: dict[str, object] = {
-                'CurrentRev': self._everything.revision
-            }
+            fields: dict[str, object] = {'CurrentRev': self._snapshot.revision}
             items: list[Item] = list(self._items.values())
-            if after >= self._news_since:
+            if after >= self._news_base_revision:
                 fields['Since'] = after
                 items = self._list_changes(after)
         fields['items'] = [write_item(item) for item in items]
@@ -249,7 +247,7 @@
             item for key, item in self._items.items()
             if key.startswith(ASSIGNMENTS)
         ]
-        return _find_last((*self._news, *saved), after)
+        return _find_last_changes((*self._news, *saved), after)
 
     def restore(self, data: bytes) -> ports.StoreSnapshot | None:
         """Returns what another entry knew; None if it knows nothing newer."""
@@ -261,7 +259,7 @@
             self._logger.warning('dump_refused', reason=str(error))
             return None
         with self._lock:
-            known = self._everything.revision
+            known = self._snapshot.revision
             if since is not None:
                 news = since <= known < revision
                 return self.apply(items, revision) if news else None
@@ -275,53 +273,55 @@
         if item.key == CONFIGURATION:
             return known is not None and (known.revision == item.revision and
                                           known.value == item.value)
-        revision = known.revision if known else self._deleted.get(item.key, 0)
+        revision = known.revision if known else self._deleted_revisions.get(
+            item.key, 0)
         return item.revision <= revision
 
-    def _keep(self, item: Item) -> None:
+    def _store_item(self, item: Item) -> None:
         if item.value is not None:
-            self._deleted.pop(item.key, None)
+            self._deleted_revisions.pop(item.key, None)
             self._items[item.key] = item
             return
         self._items.pop(item.key, None)
-        self._deleted[item.key] = item.revision
-        if len(self._deleted) > MOST_DELETED:
-            self._deleted.popitem(last=False)
+        self._deleted_revisions[item.key] = item.revision
+        if len(self._deleted_revisions) > MAX_DELETED_KEYS:
+            self._deleted_revisions.popitem(last=False)
 
-    def _take(self, everything: ports.StoreSnapshot,
-              item: Item) -> ports.StoreSnapshot:
+    def _apply_item(self, everything: ports.StoreSnapshot,
+                    item: Item) -> ports.StoreSnapshot:
         """Takes one item in; the dictionaries are this call's own."""
         if item.key.startswith(SERVERS):
-            if not self._put_server(everything.servers, item):
+            if not self._apply_server(everything.servers, item):
                 return everything
         elif item.key.startswith(COORDINATORS):
-            self._put(everything.coordinators, item, COORDINATORS,
-                      make_entry_reader(item))
+            self._apply_entry(everything.coordinators, item, COORDINATORS,
+                              make_peer_reader(item))
         elif item.key.startswith(ASSIGNMENTS):
-            self._put(everything.assignments, item, ASSIGNMENTS,
-                      make_reader(item))
+            self._apply_entry(everything.assignments, item, ASSIGNMENTS,
+                              make_assignment_reader(item))
             return everything
         elif item.key.startswith(ENTRIES):
-            self._put(everything.entries, item, ENTRIES,
-                      make_entry_reader(item))
+            self._apply_entry(everything.entries, item, ENTRIES,
+                              make_peer_reader(item))
         elif item.key.startswith(SUSPECTS):
-            self._put(everything.suspects, item, SUSPECTS,
-                      self._make_suspect_reader(item))
-        self._note_news(item)
+            self._apply_entry(everything.suspects, item, SUSPECTS,
+                              self._make_suspect_reader(item))
+        self._add_news(item)
         return dataclasses.replace(everything,
                                    required_revision=max(
                                        everything.required_revision,
                                        item.revision))
 
-    def _note_news(self, item: Item) -> None:
-        self._told.clear()
+    def _add_news(self, item: Item) -> None:
+        self._encoded_news.clear()
         self._news.append(item)
         while len(self._news) > MAX_NEWS:
             dropped = self._news.popleft()
-            self._news_since = max(self._news_since, dropped.revision)
+            self._news_base_revision = max(self._news_base_revision,
+                                           dropped.revision)
 
-    def _take_configuration(self, everything: ports.StoreSnapshot,
-                            item: Item) -> ports.StoreSnapshot:
+    def _apply_configuration(self, everything: ports.StoreSnapshot,
+                             item: Item) -> ports.StoreSnapshot:
         """Takes in the configuration if its version is newer.
 
         Its revision doesn't tell, as a restored store may hold an older one.
@@ -334,10 +334,11 @@
             found = self._read_configuration(item, before)
         if found is before:
             if known is not None and known.revision < item.revision:
-                self._keep(dataclasses.replace(known, revision=item.revision))
+                self._store_item(
+                    dataclasses.replace(known, revision=item.revision))
             return everything
-        self._keep(item)
-        self._note_news(item)
+        self._store_item(item)
+        self._add_news(item)
         return dataclasses.replace(everything,
                                    configuration=found,
                                    required_revision=max(
@@ -362,8 +363,8 @@
             return before
         return found
 
-    def _put(self, rows: dict, item: Item, prefix: str,
-             read: Callable[[bytes], object]) -> None:
+    def _apply_entry(self, rows: dict, item: Item, prefix: str,
+                     read: Callable[[bytes], object]) -> None:
         """Takes in an entry of our own, unless it does not parse.
 
         The last good one stays in force.
@@ -381,17 +382,17 @@
                                    item.revision),
                                reason=str(error))
 
-    def _put_server(self, servers: dict[str, tables.Server],
-                    item: Item) -> bool:
+    def _apply_server(self, servers: dict[str, tables.Server],
+                      item: Item) -> bool:
         """Takes in a server's entry; returns if it is more than a heartbeat."""
         name = item.key.removeprefix(SERVERS)
-        known = self._servers.get(name)
+        known = self._servers_by_name.get(name)
         if item.value is None:
             return known is not None and servers.pop(known.id, None) is not None
         now = self._clock.now()
         found = documents.parse_server(name, item.value, now)
         if isinstance(found, str):
-            self._refuse_server(name, item, found)
+            self._log_refused_server(name, item, found)
             return known is not None and servers.pop(known.id, None) is not None
         if known is not None and known.id == found.id:
             # A restored store may have lost that it is draining.
@@ -404,12 +405,12 @@
             if _is_heartbeat(known, found, now):
                 found = known
         elif known is not None and tables.has_replaced(known, found):
-            self._refuse_server(name, item, 'of an earlier start')
+            self._log_refused_server(name, item, 'of an earlier start')
             return False
         elif known is not None:
             servers.pop(known.id, None)
         changed = servers.get(found.id) is not found
-        self._servers[name] = servers[found.id] = found
+        self._servers_by_name[name] = servers[found.id] = found
         return changed
 
     def _make_suspect_reader(
@@ -430,10 +431,10 @@
         """
         peers: dict[str, ports.Peer] = {}
         for item in items:
-            self._put(peers, item, ENTRIES, documents.read_peer)
+            self._apply_entry(peers, item, ENTRIES, documents.read_peer)
         return list(peers.values())
 
-    def _refuse_server(self, name: str, item: Item, reason: str) -> None:
+    def _log_refused_server(self, name: str, item: Item, reason: str) -> None:
         self._logger.error('server_entry_refused',
                            server=name,
                            revision=revisions.format_revision(item.revision),
@@ -446,10 +447,10 @@
     same = dataclasses.replace(found,
                                warmup_ends_at=known.warmup_ends_at) == known
     return same and found.warmup_ends_at < max(known.warmup_ends_at,
-                                               now) + WARM_SLACK_MS
+                                               now) + WARMUP_TOLERANCE_MS
 
 
-def _find_last(items: Iterable[Item], after: int) -> list[Item]:
+def _find_last_changes(items: Iterable[Item], after: int) -> list[Item]:
     """Returns the last change of each key since a revision, in order.
 
     Those before it would fill the links of all who are told.
@@ -480,7 +481,8 @@
     return [read_item(row) for row in json.loads(data or b'[]')]
 
 
-def make_reader(item: Item) -> Callable[[bytes], ports.SavedAssignment]:
+def make_assignment_reader(
+        item: Item) -> Callable[[bytes], ports.SavedAssignment]:
     """Returns what reads the assignment that an item holds."""
 
     def read(data: bytes) -> ports.SavedAssignment:
@@ -490,7 +492,7 @@
     return read
 
 
-def make_entry_reader(item: Item) -> Callable[[bytes], ports.Peer]:
+def make_peer_reader(item: Item) -> Callable[[bytes], ports.Peer]:
     """Returns a parser of an entry or coordinator that sets its revision."""
     return lambda data: dataclasses.replace(documents.read_peer(data),
                                             registration_revision=item.revision)
