--- a/lentilmoor/platform/pages.py
+++ b/lentilmoor/platform/pages.py
@@ -1,4 +1,4 @@
-"""Whole reads of the platform's store, page by page."""
+"""Full reads of the platform's store, page by page."""
 
 from collections.abc import Callable
 import dataclasses
@@ -8,18 +8,18 @@
 from lentilmoor.edge import revisions
 from lentilmoor.platform import views
 
-# Pages of a whole read; more than that is no store of ours.
-_MOST_PAGES = 1_000
+# Bounds a full read, should the store report pages without end.
+_MAX_PAGES = 1_000
 ALLOW_STALE = 'AllowStale'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Answer:
+class StoreAnswer:
     """A successful answer of the store.
 
     Attributes:
       era: The store's era.
-      fields: The fields of its body.
+      fields: The fields of the answer's JSON body.
     """
 
     era: int
@@ -27,34 +27,34 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Found:
-    """What a whole read found.
+class FullRead:
+    """The result of a full read.
 
     Attributes:
-      items: All items.
-      revision: The store's revision before the first was read.
+      items: The items with the prefix.
+      revision: The store's revision before the first item was read.
     """
 
     items: list[views.Item]
     revision: int
 
 
-def read_all(call: Callable[[str], Answer | outcomes.Failed],
+def read_all(call: Callable[[str], StoreAnswer | outcomes.Failed],
              prefix: str = '',
-             stale: bool = False) -> Found | outcomes.Failed:
-    """Reads all items, and the store's revision before the first.
+             stale: bool = False) -> FullRead | outcomes.Failed:
+    """Reads all items whose keys have a prefix.
 
     Args:
       call: (target) -> the store's answer.
-      prefix: What their keys begin with.
-      stale: Whether they may be seconds old, which costs a tenth.
+      prefix: The prefix.
+      stale: Whether the items may be seconds old. Such a read costs a tenth.
 
     Returns:
-      What it found; CONFLICT if the store was restored between two pages.
+      The items; CONFLICT if the store was restored between two pages.
     """
-    found: Found | None = None
+    full_read: FullRead | None = None
     after = ''
-    for _ in range(_MOST_PAGES):
+    for _ in range(_MAX_PAGES):
         query = {'Prefix': prefix}
         if stale:
             query[ALLOW_STALE] = '1'
@@ -64,12 +64,15 @@
         if isinstance(answer, outcomes.Failed):
             return answer
         era, fields = answer.era, answer.fields
-        if found is None:
-            found = Found([], revisions.combine(era, fields['CurrentRev']))
-        elif era != revisions.find_era(found.revision):
-            return outcomes.Failed(outcomes.Reason.CONFLICT, 'store restored')
-        found.items.extend(views.read_item(row, era) for row in fields['items'])
+        if full_read is None:
+            full_read = FullRead([], revisions.combine(era,
+                                                       fields['CurrentRev']))
+        elif era != revisions.find_era(full_read.revision):
+            return outcomes.Failed(outcomes.Reason.CONFLICT,
+                                   'the store was restored from an older copy')
+        full_read.items.extend(
+            views.read_item(row, era) for row in fields['items'])
         if not fields.get('Truncated'):
             break
         after = fields['items'][-1]['Key']
-    return found
+    return full_read
--- a/lentilmoor/platform/store.py
+++ b/lentilmoor/platform/store.py
@@ -24,18 +24,18 @@
 from lentilmoor.platform import pages
 from lentilmoor.platform import views
 
-# The store answers in 4 ms, and 60 times slower on its slow days.
+# The store usually answers in 4 ms, and 60 times slower on its slow days.
 CALL_TIMEOUT_MS = 1_200.0
-# A page of a whole read: one with a large configuration takes long over a slow
-# link that others use too.
+# Timeout of a page of a full read: a large configuration takes long over a
+# slow, shared link.
 PAGE_TIMEOUT_MS = 3_000.0
-# The largest value that the store takes, as text, in Mbit.
+# The largest value that the store accepts, encoded as text.
 _MAX_VALUE_MBITS = 11.2
-# Times that a conditional write without an answer is sent again.
+# Attempts at a conditional write, including retries of unanswered ones.
 MAX_WRITE_ATTEMPTS = 4
 
-# A watch whose connection went silent is noticed after about 3 s by probes of
-# the kernel, which cost no call.
+# TCP keepalive detects a dead connection of a watch after about 3 s without
+# extra calls to the store.
 KEEPALIVE_OPTIONS = (
     (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -45,7 +45,7 @@
     (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, 2_500),
 )
 
-# What calls are counted as, by the last part of their path.
+# The kinds that calls are counted by, by the last part of their path.
 _KINDS = {
     'kv-range': 'read_page',
     'kv-key': 'read_key',
@@ -55,8 +55,8 @@
     'kv-keep': 'keep_lease',
     'kv-lease-end': 'end_lease',
 }
-_STALE = 'read_stale_page'
-# Rises each time that the store comes back from an older copy.
+_STALE_PAGE_KIND = 'read_stale_page'
+# A counter that rises each time that the store is restored from an older copy.
 _ERA_HEADER = 'Store-Era'
 
 _Reason = outcomes.Reason
@@ -70,23 +70,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Conflict(outcomes.Failed):
-    """A conditional write that came too late; the detail is the answer's body.
+    """A conditional write that found another revision than it expected.
+
+    The detail is the answer's body.
 
     Attributes:
-      era: The store's, as the answer told it.
+      era: The store's era that the answer reported.
     """
 
     era: int = 0
 
 
 class _Client:
-    """Calls to one store.
+    """The HTTP client of one store.
 
     Attributes:
-      era: The newest era that an answer told; None before the first.
-      unanswered_at: When the first call that the store hasn't answered since
-        its last answer was sent, ms; None if there is none.
-      counts: Calls by kind.
+      era: The newest era that an answer reported; None before the first.
+      unanswered_at: When the earliest unanswered call since the store's last
+        answer was sent, ms; None if there is none.
+      counts: Number of calls by kind.
     """
 
     def __init__(self, address: str, clock: clocks.Clock, logger: logs.Logger):
@@ -96,91 +98,95 @@
         self.era: int | None = None
         self.unanswered_at: float | None = None
         self._clock = clock
-        self._restored: Callable[[], None] = lambda: None
-        # A waiting watch must not keep other calls from their connection.
+        self._restore_callback: Callable[[], None] = lambda: None
+        # Watches have a connection pool of their own, so that a waiting watch
+        # never takes a connection that other calls need.
         self._caller = httpcalls.Caller(clock, 4, KEEPALIVE_OPTIONS)
-        self._watcher = httpcalls.Caller(clock, 1, KEEPALIVE_OPTIONS)
+        self._watch_caller = httpcalls.Caller(clock, 1, KEEPALIVE_OPTIONS)
         self.counts: collections.Counter[str] = collections.Counter()
 
     def call(
-            self,
-            method: str,
-            target: str,
-            body: Mapping | None = None,
-            timeout_ms: float = CALL_TIMEOUT_MS
-    ) -> pages.Answer | outcomes.Failed:
-        """Makes a call; returns a successful answer."""
+        self,
+        method: str,
+        target: str,
+        body: Mapping | None = None,
+        timeout_ms: float = CALL_TIMEOUT_MS
+    ) -> pages.StoreAnswer | outcomes.Failed:
+        """Sends a call; returns the answer if its status is 200."""
         self.counts[_find_kind(target)] += 1
         data = None if body is None else json.dumps(body).encode()
         caller = (self._caller
-                  if timeout_ms == CALL_TIMEOUT_MS else self._watcher)
-        # One that waits for a change says nothing before it is over.
+                  if timeout_ms == CALL_TIMEOUT_MS else self._watch_caller)
+        # A watch isn't answered before a change, so it counts as unanswered
+        # only when it fails.
         if timeout_ms == CALL_TIMEOUT_MS:
-            self._note_unanswered(self._clock.now())
+            self._record_unanswered_call(self._clock.now())
         reply = caller.call(
             self._address,
             httpcalls.Request(method, target, data,
                               {'Content-Type': 'application/json'}), timeout_ms)
         if isinstance(reply, outcomes.Failed):
-            self._note_unanswered(self._clock.now())
+            self._record_unanswered_call(self._clock.now())
             return reply
         if reply.status not in (429, 503):
             self.unanswered_at = None
         era = self._read_era(reply)
         if era is None:
-            return outcomes.Failed(_Reason.INVALID, f'bad {_ERA_HEADER}')
+            return outcomes.Failed(_Reason.INVALID,
+                                   f'invalid {_ERA_HEADER} header')
         if reply.status == 200:
             try:
-                return pages.Answer(era, json.loads(reply.body or b'{}'))
+                return pages.StoreAnswer(era, json.loads(reply.body or b'{}'))
             except ValueError:
-                return outcomes.Failed(_Reason.CONNECTION_LOST, 'not JSON')
+                return outcomes.Failed(_Reason.CONNECTION_LOST,
+                                       'the answer is not JSON')
         reason = _REASONS.get(reply.status, _Reason.STORE_UNAVAILABLE)
         if reason is _Reason.CONFLICT:
             return _Conflict(reason, reply.body.decode('utf-8', 'replace'), era)
         return outcomes.Failed(reason, reply.body.decode('utf-8', 'replace'))
 
-    def _note_unanswered(self, sent_at: float) -> None:
+    def _record_unanswered_call(self, sent_at: float) -> None:
         with self._lock:
             if self.unanswered_at is None:
                 self.unanswered_at = sent_at
 
-    def find_unanswered_ms(self) -> float:
-        """Returns for how long the store has answered nothing, ms."""
+    def find_silence_ms(self) -> float:
+        """Returns for how long the store has answered no call, ms."""
         unanswered_at = self.unanswered_at
         return (0.0 if unanswered_at is None else self._clock.now() -
                 unanswered_at)
 
     def _read_era(self, reply: httpcalls.Reply) -> int | None:
-        """Takes in the era of an answer and returns it; None if it is bad.
+        """Records and returns the era of an answer; None if it is invalid.
 
-        An answer without one is of the era that is known.
+        An answer without an era is of the newest known era.
         """
         text = reply.headers.get(_ERA_HEADER)
         if text is None:
             return self.era or 0
         if not text.isdecimal() or int(text) > revisions.MAX_ERA:
             return None
-        self._note_era(int(text))
+        self._record_era(int(text))
         return int(text)
 
-    def _note_era(self, era: int) -> None:
+    def _record_era(self, era: int) -> None:
         with self._lock:
-            before = self.era
-            if before is not None and era <= before:
+            previous = self.era
+            if previous is not None and era <= previous:
                 return
             self.era = era
-        if before is not None:
-            self._logger.warning('store_restored', era=era, before=before)
-            self._restored()
+        if previous is not None:
+            self._logger.warning('store_restored', era=era, before=previous)
+            self._restore_callback()
 
-    def on_restore(self, restored: Callable[[], None]) -> None:
-        """Sets what is called when the era has risen."""
-        self._restored = restored
+    def on_restore(self, callback: Callable[[], None]) -> None:
+        """Sets the callable that is called when the era has risen."""
+        self._restore_callback = callback
 
     def is_from_earlier_era(self, revision: int) -> bool:
-        """Returns whether the store was restored since it told a revision.
+        """Returns whether the store was restored since a revision.
 
-        It may have given the number out again.
+        A restored store may assign the revision's number again.
         """
         return self.era is not None and revisions.find_era(revision) < self.era
 
@@ -188,14 +194,15 @@
                          lease: int) -> int | outcomes.Failed:
         """Writes a key if it is at a revision; returns the new revision.
 
-        A call without an answer may be carried out later; it is repeated
-        until the outcome is certain, or TIMED_OUT is returned.
+        The store may still execute a call that it didn't answer. Such a call is
+        repeated until its outcome is certain; else its failure is returned.
 
         Args:
           key: The key.
           value: Its new value.
-          revision: The revision that it must be at; 0 if it must not exist.
-          lease: The lease that it is to end with; 0: none.
+          revision: The revision that the key must be at; 0 if it must not
+            exist.
+          lease: The lease with whose end the key is deleted; 0: none.
         """
         write = {'Key': key, 'Value': base64.b64encode(value).decode()}
         if lease:
@@ -208,34 +215,40 @@
             'Writes': [write],
             'Delete': [],
         }
-        unanswered: outcomes.Failed | None = None
+        last_unanswered: outcomes.Failed | None = None
         for _ in range(MAX_WRITE_ATTEMPTS):
             if revision and self.is_from_earlier_era(revision):
-                return outcomes.Failed(_Reason.CONFLICT, 'store restored')
+                return outcomes.Failed(
+                    _Reason.CONFLICT,
+                    'the store was restored from an older copy')
             answer = self.call('POST', '/-/kv-txn', body)
             if not isinstance(answer, outcomes.Failed):
                 return revisions.combine(answer.era, answer.fields['Rev'])
             if isinstance(answer, _Conflict):
-                own = _find_own(answer, value)
-                if own is None:
-                    return outcomes.Failed(_Reason.CONFLICT,
-                                           'another write came first')
-                if own.get('Lease', 0) == lease:
-                    return revisions.combine(answer.era, own['Rev'])
-                # A restored store may hold it under a lease that has ended.
-                body['ExpectRev'][0]['Rev'] = own['Rev']
+                own_write = _find_own(answer, value)
+                if own_write is None:
+                    return outcomes.Failed(
+                        _Reason.CONFLICT, 'another client wrote the key first')
+                if own_write.get('Lease', 0) == lease:
+                    return revisions.combine(answer.era, own_write['Rev'])
+                # A restored store may hold our write under a lease that has
+                # ended: write it again.
+                body['ExpectRev'][0]['Rev'] = own_write['Rev']
                 continue
             if answer.reason not in (_Reason.TIMED_OUT,
                                      _Reason.CONNECTION_LOST):
-                # A refusal says nothing of an earlier try without an answer.
-                return unanswered or answer
-            unanswered = answer
-        return unanswered or outcomes.Failed(_Reason.CONFLICT, 'no agreement')
+                # A rejected attempt says nothing about an earlier unanswered
+                # one, which may still be executed.
+                return last_unanswered or answer
+            last_unanswered = answer
+        return last_unanswered or outcomes.Failed(
+            _Reason.CONFLICT, 'every attempt met another revision')
 
     def delete(self, key: str, revision: int) -> outcomes.Failed | None:
-        """Deletes a key if it is at a revision."""
+        """Deletes a key if it is at a revision; returns None if it did."""
         if self.is_from_earlier_era(revision):
-            return outcomes.Failed(_Reason.CONFLICT, 'store restored')
+            return outcomes.Failed(_Reason.CONFLICT,
+                                   'the store was restored from an older copy')
         row = {'Key': key, 'Rev': revisions.find_number(revision)}
         answer = self.call('POST', '/-/kv-txn', {
             'ExpectRev': [row],
@@ -249,18 +262,21 @@
     path, _, query = target.partition('?')
     kind = _KINDS[path.split('/')[2]]
     stale = kind == 'read_page' and pages.ALLOW_STALE in query
-    return _STALE if stale else kind
+    return _STALE_PAGE_KIND if stale else kind
 
 
-def _find_own(failed: outcomes.Failed, value: bytes) -> dict | None:
-    """Returns our own earlier write, whose answer was lost; None if a rival's.
+def _find_own(conflict: outcomes.Failed, value: bytes) -> dict | None:
+    """Finds this client's own earlier write whose answer was lost.
 
     Args:
-      failed: The conflict.
-      value: What was to be written.
+      conflict: The failure of a repeated write.
+      value: The value to write.
+
+    Returns:
+      The key's item if it holds the value; None if another client wrote it.
     """
     try:
-        items = json.loads(failed.detail)['items']
+        items = json.loads(conflict.detail)['items']
     except (ValueError, KeyError):
         return None
     return next((row for row in items
@@ -270,24 +286,24 @@
 
 def _read_entries(client: _Client,
                   view: views.View) -> list[ports.Peer] | outcomes.Failed:
-    found = pages.read_all(
+    full_read = pages.read_all(
         lambda target: client.call('GET', target, timeout_ms=PAGE_TIMEOUT_MS),
         views.ENTRIES,
         stale=True)
-    if isinstance(found, outcomes.Failed):
-        return found
-    return view.read_peers(found.items)
+    if isinstance(full_read, outcomes.Failed):
+        return full_read
+    return view.read_peers(full_read.items)
 
 
 def _save_suspect(client: _Client, clock: clocks.Clock,
                   suspect: ports.SavedSuspect) -> outcomes.Failed | None:
-    done = client.compare_and_swap(views.SUSPECTS + suspect.fingerprint.hex(),
-                                   documents.write_suspect(suspect, clock),
-                                   suspect.revision, 0)
-    return done if isinstance(done, outcomes.Failed) else None
+    result = client.compare_and_swap(views.SUSPECTS + suspect.fingerprint.hex(),
+                                     documents.write_suspect(suspect, clock),
+                                     suspect.revision, 0)
+    return result if isinstance(result, outcomes.Failed) else None
 
 
-def _forget_suspect(client: _Client,
+def _delete_suspect(client: _Client,
                     suspect: ports.SavedSuspect) -> outcomes.Failed | None:
     return client.delete(views.SUSPECTS + suspect.fingerprint.hex(),
                          suspect.revision)
@@ -295,11 +311,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchTimes:
-    """Times of watches, ms.
+    """Wait time and timeout of watches.
 
     Attributes:
-      wait_ms: How long one waits for a change.
-      timeout_ms: When it counts as lost.
+      wait_ms: For how long the store waits for a change before it answers.
+      timeout_ms: When a watch without an answer counts as lost.
     """
 
     wait_ms: float
@@ -307,12 +323,12 @@
 
 
 def make_watch_times(limits: staleness.Limits, link_mbps: float) -> WatchTimes:
-    """Returns the times of watches.
+    """Returns the wait time and timeout of watches.
 
     Args:
-      limits: How old what is known may be.
-      link_mbps: Speed of this machine's link, Mbit/s: an answer may hold a
-        value that takes long over it.
+      limits: The limits on the age of an entry's data.
+      link_mbps: Bandwidth of this machine's link, Mbit/s. The timeout allows
+        for the transfer of the largest value.
     """
     transfer_ms = _MAX_VALUE_MBITS / link_mbps * clocks.MS_PER_S
     return WatchTimes(
@@ -325,13 +341,14 @@
 ) -> Callable[[ports.StoreSnapshot], ports.StoreSnapshot | outcomes.Failed]:
 
     def watch(
-            before: ports.StoreSnapshot
+            snapshot: ports.StoreSnapshot
     ) -> ports.StoreSnapshot | outcomes.Failed:
-        if client.is_from_earlier_era(before.revision):
-            return outcomes.Failed(_Reason.NOT_FOUND, 'store restored')
+        if client.is_from_earlier_era(snapshot.revision):
+            return outcomes.Failed(_Reason.NOT_FOUND,
+                                   'the store was restored from an older copy')
         query = urllib.parse.urlencode({
             'Prefix': '',
-            'after': revisions.find_number(before.revision),
+            'after': revisions.find_number(snapshot.revision),
             'WaitMs': int(times.wait_ms)
         })
         answer = client.call('GET',
@@ -339,8 +356,9 @@
                              timeout_ms=times.timeout_ms)
         if isinstance(answer, outcomes.Failed):
             return answer
-        if answer.era != revisions.find_era(before.revision):
-            return outcomes.Failed(_Reason.NOT_FOUND, 'store restored')
+        if answer.era != revisions.find_era(snapshot.revision):
+            return outcomes.Failed(_Reason.NOT_FOUND,
+                                   'the store was restored from an older copy')
         fields = answer.fields
         items = [views.read_item(row, answer.era) for row in fields['events']]
         return view.apply(items,
@@ -349,35 +367,36 @@
     return watch
 
 
-_USUAL_TIMES = make_watch_times(staleness.make_limits(), 1_000.0)
+_DEFAULT_WATCH_TIMES = make_watch_times(staleness.make_limits(), 1_000.0)
 
 
 def connect_store(address: str,
                   clock: clocks.Clock,
                   logger: logs.Logger,
-                  times: WatchTimes | None = None) -> ports.Store:
-    """Returns the store at an address.
+                  watch_times: WatchTimes | None = None) -> ports.Store:
+    """Returns a client of the store at an address.
 
     Args:
       address: host:port.
-      clock: This process's time.
-      logger: Takes lines on entries that don't parse.
-      times: Of watches.
+      clock: This process's clock.
+      logger: Logs restores of the store and items that don't parse.
+      watch_times: Wait time and timeout of watches.
     """
     client = _Client(address, clock, logger)
     view = views.View(clock, logger)
 
     def load() -> ports.StoreSnapshot | outcomes.Failed:
-        found = pages.read_all(lambda target: client.call(
+        full_read = pages.read_all(lambda target: client.call(
             'GET', target, timeout_ms=PAGE_TIMEOUT_MS))
-        if isinstance(found, outcomes.Failed):
-            return found
-        known = view.find_revision()
-        if found.revision < known:
+        if isinstance(full_read, outcomes.Failed):
+            return full_read
+        known_revision = view.find_revision()
+        if full_read.revision < known_revision:
             logger.warning('store_behind',
-                           revision=revisions.format_revision(found.revision),
-                           known=revisions.format_revision(known))
-        return view.replace(found.items, found.revision)
+                           revision=revisions.format_revision(
+                               full_read.revision),
+                           known=revisions.format_revision(known_revision))
+        return view.replace(full_read.items, full_read.revision)
 
     def load_configuration() -> ports.StoreSnapshot | outcomes.Failed:
         query = urllib.parse.urlencode({'Key': views.CONFIGURATION})
@@ -402,19 +421,19 @@
         answer = client.call('DELETE', f'/-/kv-lease-end/{lease.id}')
         return answer if isinstance(answer, outcomes.Failed) else None
 
-    def claim_coordination(service: str, coordinator: ports.Peer,
-                           lease: ports.Lease,
-                           replaced: int) -> outcomes.Failed | None:
-        done = client.compare_and_swap(views.COORDINATORS + service,
-                                       documents.write_peer(coordinator),
-                                       replaced, lease.id)
-        return done if isinstance(done, outcomes.Failed) else None
+    def claim_role(service: str, coordinator: ports.Peer, lease: ports.Lease,
+                   replaced_revision: int) -> outcomes.Failed | None:
+        result = client.compare_and_swap(views.COORDINATORS + service,
+                                         documents.write_peer(coordinator),
+                                         replaced_revision, lease.id)
+        return result if isinstance(result, outcomes.Failed) else None
 
     def register(peer: ports.Peer,
                  lease: ports.Lease) -> outcomes.Failed | None:
-        done = client.compare_and_swap(views.ENTRIES + peer.instance,
-                                       documents.write_peer(peer), 0, lease.id)
-        return done if isinstance(done, outcomes.Failed) else None
+        result = client.compare_and_swap(views.ENTRIES + peer.instance,
+                                         documents.write_peer(peer), 0,
+                                         lease.id)
+        return result if isinstance(result, outcomes.Failed) else None
 
     def save(assignment: keyranges.Assignment,
              revision: int) -> int | outcomes.Failed:
@@ -427,8 +446,8 @@
         query = urllib.parse.urlencode({'Key': views.ASSIGNMENTS + service})
         answer = client.call('GET', f'/-/kv-key?{query}')
         if isinstance(answer, outcomes.Failed):
-            missing = answer.reason is _Reason.NOT_FOUND
-            return None if missing else answer
+            is_absent = answer.reason is _Reason.NOT_FOUND
+            return None if is_absent else answer
         item = views.read_item(answer.fields, answer.era)
         return views.make_assignment_reader(item)(item.value)
 
@@ -436,23 +455,24 @@
                        load_configuration=load_configuration,
                        list_entries=functools.partial(_read_entries, client,
                                                       view),
-                       watch=_make_watch(client, view, times or _USUAL_TIMES),
+                       watch=_make_watch(client, view, watch_times or
+                                         _DEFAULT_WATCH_TIMES),
                        open_lease=open_lease,
                        keep_lease=keep_lease,
                        end_lease=end_lease,
-                       claim_coordination=claim_coordination,
+                       claim_coordination=claim_role,
                        register=register,
                        load_assignment=load_assignment,
-                       encode_news=view.encode_news,
+                       encode_news=view.encode_changes,
                        merge_news=view.merge_news,
                        dump=view.dump,
                        restore=view.restore,
                        save=save,
                        save_suspect=functools.partial(_save_suspect, client,
                                                       clock),
-                       delete_suspect=functools.partial(_forget_suspect,
+                       delete_suspect=functools.partial(_delete_suspect,
                                                         client),
-                       find_unanswered_ms=client.find_unanswered_ms,
+                       find_unanswered_ms=client.find_silence_ms,
                        find_era=lambda: client.era or 0,
                        on_restore=client.on_restore,
                        count_calls=lambda: dict(client.counts))
--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -1,9 +1,10 @@
-"""What an entry knows of the store, in whatever order it learns of it.
+"""An entry's local copy of the store, merged from several sources.
 
-Whole reads, watches and other entries' news may overlap. Each item carries the
-revision of its last change, so that what is older never replaces what is newer.
-After a restore of the store everything is read anew: what was known before is
-replaced as a whole, and isn't told to others any more.
+Full reads, watches and the news of other entries may overlap and arrive in any
+order. Each item carries the revision of its last change, so that an older item
+never replaces a newer one. After a restore of the store everything is read
+again: the copy is replaced as a whole, and changes from before the restore are
+no longer sent to other entries.
 """
 
 import base64
@@ -30,18 +31,20 @@
 ENTRIES = 'lentilmoor/entry/'
 SUSPECTS = 'lentilmoor/suspect/'
 
-# Changes that are kept for others: some minutes of a busy day's.
+# Changes that are kept as news for other entries: some minutes' worth at a busy
+# time.
 MAX_NEWS = 500
-# Deleted keys whose revision is kept, so that no older change brings them back.
+# Deleted keys whose revision is kept, so that an older change that arrives late
+# can't restore them.
 MAX_DELETED_KEYS = 1_000
-# Low, as many ask one large machine at once, and it is the link of who asks
-# that is slow.
+# Low: one large machine compresses for many entries at once, and the slow part
+# is the link of the entry that asks.
 COMPRESSION_LEVEL = 1
-# Values of more bytes are compressed before they are written as text.
+# Values of at least this size are compressed before they are sent as base64.
 COMPRESSION_THRESHOLD_BYTES = 1_000
-# News that were told last are kept, as most ask for the same.
+# Most entries ask for the same news, so the latest encodings are cached.
 MAX_CACHED_NEWS = 8
-# What a server says of its warming up varies by the way of its heartbeats.
+# The end of a warm-up that heartbeats report varies with their latency.
 WARMUP_TOLERANCE_MS = 1_000.0
 
 _EMPTY_SNAPSHOT = ports.StoreSnapshot(None, {}, {}, {}, {}, 0)
@@ -49,12 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """A key of the store.
+    """A key of the store with its value, or its deletion.
 
     Attributes:
       key: The key.
-      value: Its value; None if it was deleted.
-      revision: The store's revision of its last change.
+      value: The value; None if the key was deleted.
+      revision: The store's revision of the key's last change.
     """
 
     key: str
@@ -63,12 +66,12 @@
 
 
 def read_item(row: Mapping, era: int = 0) -> Item:
-    """Reads an item or an event.
+    """Decodes an item or a watch event.
 
     Args:
-      row: The item, as the store or another entry wrote it.
-      era: The store's era. Other entries write whole revisions, which need
-        none.
+      row: The item, as the store or another entry encoded it.
+      era: The store's era. Other entries send revisions that include the era;
+        for their items it is 0.
     """
     value = None
     if 'Packed' in row:
@@ -79,7 +82,7 @@
 
 
 def write_item(item: Item) -> dict[str, object]:
-    """Returns an item in the store's own form, with its whole revision."""
+    """Encodes an item in the store's format; its revision includes the era."""
     row: dict[str, object] = {'Key': item.key, 'Rev': item.revision}
     if item.value is None:
         return row | {'Tombstone': True}
@@ -87,7 +90,7 @@
 
 
 def _pack_item(item: Item) -> dict[str, object]:
-    """Returns an item as it is told to other entries."""
+    """Encodes an item for other entries and compresses a large value."""
     if item.value is None or len(item.value) < COMPRESSION_THRESHOLD_BYTES:
         return write_item(item)
     packed = zlib.compress(item.value, COMPRESSION_LEVEL)
@@ -99,67 +102,72 @@
 
 
 class View:
-    """What is known of the store; for many threads."""
+    """A thread-safe copy of the store's items, with the latest snapshot."""
 
     def __init__(self, clock: clocks.Clock, logger: logs.Logger):
         self._clock = clock
         self._logger = logger
         self._snapshot = _EMPTY_SNAPSHOT
-        # The last entry of each server, by its key's name.
+        # The latest registration of each server, by the name in its key. It
+        # outlives the deletion of the key.
         self._servers_by_name: dict[str, tables.Server] = {}
         self._items: dict[str, Item] = {}
         self._deleted_revisions: collections.OrderedDict[
             str, int] = collections.OrderedDict()
-        # News, and the revision since when they are complete.
+        # The news, and the revision since which they are complete.
         self._news: collections.deque[Item] = collections.deque()
         self._news_base_revision = 0
         self._encoded_news: dict[tuple[int, float, bool], bytes] = {}
         self._lock = threading.RLock()
 
     def find_revision(self) -> int:
-        """Returns the revision up to which all changes are known."""
+        """Returns the revision up to which the copy has all changes."""
         with self._lock:
             return self._snapshot.revision
 
     def replace(self, items: Iterable[Item],
                 revision: int) -> ports.StoreSnapshot:
-        """Takes in all that the store holds.
+        """Replaces the copy by the result of a full read.
 
         Args:
-          items: The items.
-          revision: The store's revision before the first was read.
+          items: All items of the store.
+          revision: The store's revision before the first item was read.
+
+        Returns:
+          The new snapshot. Items that changed after that revision stay.
         """
         items = list(items)
         with self._lock:
-            restored = (revisions.find_era(revision)
-                        > revisions.find_era(self._snapshot.revision))
-            if restored or not self._items:
+            was_restored = (revisions.find_era(revision)
+                            > revisions.find_era(self._snapshot.revision))
+            if was_restored or not self._items:
                 self._news.clear()
                 self._news_base_revision = revision
-            found = {item.key for item in items}
-            # Nobody deletes an assignment; news don't tell of a new one.
-            gone = [
+            found_keys = {item.key for item in items}
+            # Assignments are never deleted, and news leave out new ones: one
+            # that is missing here may just be newer than the read.
+            deletions = [
                 Item(key, None, revision)
                 for key, item in self._items.items()
-                if key not in found and item.revision <= revision and
-                (restored or not key.startswith(ASSIGNMENTS))
+                if key not in found_keys and item.revision <= revision and
+                (was_restored or not key.startswith(ASSIGNMENTS))
             ]
-            items = sorted(gone + items, key=lambda item: item.revision)
+            items = sorted(deletions + items, key=lambda item: item.revision)
             return self.apply(items, revision)
 
     def apply(self, items: Iterable[Item],
               revision: int) -> ports.StoreSnapshot:
-        """Takes in changes; returns what is known then.
+        """Applies changes and returns the new snapshot.
 
         Args:
-          items: New, changed and deleted items, in order. Those of an earlier
-            era are left out.
-          revision: The store's revision up to which there are no others.
+          items: New, changed and deleted items, in order. Items of an earlier
+            era are ignored.
+          revision: The store's revision up to which these are all changes.
         """
         with self._lock:
             before = self._snapshot
             era = revisions.find_era(before.revision)
-            changed = dataclasses.replace(
+            updated = dataclasses.replace(
                 before,
                 servers=dict(before.servers),
                 coordinators=dict(before.coordinators),
@@ -172,65 +180,70 @@
                         self._is_known(item)):
                     continue
                 if item.key == CONFIGURATION:
-                    changed = self._apply_configuration(changed, item)
+                    updated = self._apply_configuration(updated, item)
                     continue
                 self._store_item(item)
-                changed = self._apply_item(changed, item)
-            self._snapshot = changed
-            return changed
+                updated = self._apply_item(updated, item)
+            self._snapshot = updated
+            return updated
 
-    def encode_news(self,
-                    after: int,
-                    room: float,
-                    version: int | None = None) -> bytes | None:
-        """Returns what has changed since a revision.
+    def encode_changes(self,
+                       after: int,
+                       max_configuration_bytes: float,
+                       known_version: int | None = None) -> bytes | None:
+        """Encodes the changes since a revision as news for another entry.
 
         Args:
           after: The revision.
-          room: A configuration of more bytes, when compressed, is left out.
-          version: Of the configuration that is known there; a newer one is told
-            whenever it has changed. None if that isn't known.
+          max_configuration_bytes: A configuration that is larger than this,
+            when compressed, is left out.
+          known_version: The version of the configuration that the other entry
+            has. A newer configuration is included whenever it changed. None if
+            the version isn't known.
 
         Returns:
-          None if it isn't known.
+          The news, compressed; None if the revision is too old.
         """
         with self._lock:
             if after < self._news_base_revision:
                 return None
-            lacks = self._is_configuration_newer(version)
-            told = self._encoded_news.get((after, room, lacks))
-            if told is None:
+            needs_configuration = self._is_configuration_newer(known_version)
+            news = self._encoded_news.get(
+                (after, max_configuration_bytes, needs_configuration))
+            if news is None:
                 items = _find_last_changes(self._news, after)
-                if lacks and all(item.key != CONFIGURATION for item in items):
+                if needs_configuration and all(
+                        item.key != CONFIGURATION for item in items):
                     items.append(self._items[CONFIGURATION])
-                told = _write_news(items, room)
+                news = _encode_news(items, max_configuration_bytes)
                 if len(self._encoded_news) >= MAX_CACHED_NEWS:
                     del self._encoded_news[next(iter(self._encoded_news))]
-                self._encoded_news[after, room, lacks] = told
-            return told
+                self._encoded_news[after, max_configuration_bytes,
+                                   needs_configuration] = news
+            return news
 
     def _is_configuration_newer(self, version: int | None) -> bool:
-        """Returns whether the configuration is newer than a version."""
-        known = self._snapshot.configuration
-        return (version is not None and known is not None and
-                known.version > version and CONFIGURATION in self._items)
+        """Returns whether the copy has a configuration newer than a version."""
+        current = self._snapshot.configuration
+        return (version is not None and current is not None and
+                current.version > version and CONFIGURATION in self._items)
 
     def merge_news(self, data: bytes,
                    revision: int) -> ports.StoreSnapshot | None:
-        """Takes in what another entry told; None if it doesn't parse."""
+        """Applies another entry's news; returns None if it doesn't parse."""
         try:
-            items = _read_news(data)
+            items = _decode_news(data)
         except (zlib.error, ValueError, KeyError, TypeError) as error:
             self._logger.warning('news_refused', reason=str(error))
             return None
         return self.apply(items, revision)
 
     def dump(self, after: int) -> bytes:
-        """Returns what is known, in the store's own form.
+        """Encodes the copy, in the store's format, for another entry.
 
         Args:
-          after: A revision. What has changed since is returned, or all if that
-            is too long ago to tell.
+          after: A revision. Only the changes since are returned, or everything
+            if the revision is too old.
         """
         with self._lock:
             fields: dict[str, object] = {'CurrentRev': self._snapshot.revision}
@@ -242,15 +255,20 @@
         return zlib.compress(json.dumps(fields).encode(), COMPRESSION_LEVEL)
 
     def _list_changes(self, after: int) -> list[Item]:
-        """Returns what has changed since a revision, heartbeats left out."""
-        saved = [
+        """Returns the changes since a revision, without heartbeats."""
+        assignments = [
             item for key, item in self._items.items()
             if key.startswith(ASSIGNMENTS)
         ]
-        return _find_last_changes((*self._news, *saved), after)
+        return _find_last_changes((*self._news, *assignments), after)
 
     def restore(self, data: bytes) -> ports.StoreSnapshot | None:
-        """Returns what another entry knew; None if it knows nothing newer."""
+        """Applies another entry's dump.
+
+        Returns:
+          The new snapshot; None if the dump doesn't parse, holds nothing newer,
+          or begins later than this copy ends.
+        """
         try:
             fields = json.loads(zlib.decompress(data))
             items = [read_item(row) for row in fields['items']]
@@ -259,12 +277,13 @@
             self._logger.warning('dump_refused', reason=str(error))
             return None
         with self._lock:
-            known = self._snapshot.revision
+            known_revision = self._snapshot.revision
             if since is not None:
-                news = since <= known < revision
-                return self.apply(items, revision) if news else None
-            # What was too large for news may be missing up to any revision.
-            if revision <= known and all(map(self._is_known, items)):
+                is_newer = since <= known_revision < revision
+                return self.apply(items, revision) if is_newer else None
+            # Items too large for news may be missing here below any revision,
+            # so a full dump is also applied if its revision isn't newer.
+            if revision <= known_revision and all(map(self._is_known, items)):
                 return None
             return self.replace(items, revision)
 
@@ -287,29 +306,29 @@
         if len(self._deleted_revisions) > MAX_DELETED_KEYS:
             self._deleted_revisions.popitem(last=False)
 
-    def _apply_item(self, everything: ports.StoreSnapshot,
+    def _apply_item(self, snapshot: ports.StoreSnapshot,
                     item: Item) -> ports.StoreSnapshot:
-        """Takes one item in; the dictionaries are this call's own."""
+        """Applies one item to a snapshot whose dictionaries may be changed."""
         if item.key.startswith(SERVERS):
-            if not self._apply_server(everything.servers, item):
-                return everything
+            if not self._apply_server(snapshot.servers, item):
+                return snapshot
         elif item.key.startswith(COORDINATORS):
-            self._apply_entry(everything.coordinators, item, COORDINATORS,
+            self._apply_entry(snapshot.coordinators, item, COORDINATORS,
                               make_peer_reader(item))
         elif item.key.startswith(ASSIGNMENTS):
-            self._apply_entry(everything.assignments, item, ASSIGNMENTS,
+            self._apply_entry(snapshot.assignments, item, ASSIGNMENTS,
                               make_assignment_reader(item))
-            return everything
+            return snapshot
         elif item.key.startswith(ENTRIES):
-            self._apply_entry(everything.entries, item, ENTRIES,
+            self._apply_entry(snapshot.entries, item, ENTRIES,
                               make_peer_reader(item))
         elif item.key.startswith(SUSPECTS):
-            self._apply_entry(everything.suspects, item, SUSPECTS,
+            self._apply_entry(snapshot.suspects, item, SUSPECTS,
                               self._make_suspect_reader(item))
         self._add_news(item)
-        return dataclasses.replace(everything,
+        return dataclasses.replace(snapshot,
                                    required_revision=max(
-                                       everything.required_revision,
+                                       snapshot.required_revision,
                                        item.revision))
 
     def _add_news(self, item: Item) -> None:
@@ -320,35 +339,41 @@
             self._news_base_revision = max(self._news_base_revision,
                                            dropped.revision)
 
-    def _apply_configuration(self, everything: ports.StoreSnapshot,
+    def _apply_configuration(self, snapshot: ports.StoreSnapshot,
                              item: Item) -> ports.StoreSnapshot:
-        """Takes in the configuration if its version is newer.
+        """Applies the configuration if its version is newer.
 
-        Its revision doesn't tell, as a restored store may hold an older one.
-        What is in force counts as the store's then, for those who ask.
+        Its revision doesn't decide, as a restored store may hold an older
+        configuration at a newer revision. The configuration in force then
+        passes for the store's: it is sent to other entries at that revision.
         """
-        known, before = self._items.get(CONFIGURATION), everything.configuration
-        found = before
+        known, before = self._items.get(CONFIGURATION), snapshot.configuration
+        newest = before
         if item.value is not None and (known is None or
                                        item.value != known.value):
-            found = self._read_configuration(item, before)
-        if found is before:
+            newest = self._read_configuration(item, before)
+        if newest is before:
             if known is not None and known.revision < item.revision:
                 self._store_item(
                     dataclasses.replace(known, revision=item.revision))
-            return everything
+            return snapshot
         self._store_item(item)
         self._add_news(item)
-        return dataclasses.replace(everything,
-                                   configuration=found,
+        return dataclasses.replace(snapshot,
+                                   configuration=newest,
                                    required_revision=max(
-                                       everything.required_revision,
+                                       snapshot.required_revision,
                                        item.revision))
 
     def _read_configuration(
             self, item: Item,
             before: tables.Configuration | None) -> tables.Configuration | None:
-        """Returns an item's configuration, or the one before if it is newer."""
+        """Parses a configuration.
+
+        Returns:
+          The item's configuration; the one in force if the item doesn't parse
+          or has a lower version.
+        """
         found = documents.parse_configuration(item.value)
         if isinstance(found, str):
             self._logger.error('configuration_refused',
@@ -363,18 +388,18 @@
             return before
         return found
 
-    def _apply_entry(self, rows: dict, item: Item, prefix: str,
+    def _apply_entry(self, entries: dict, item: Item, prefix: str,
                      read: Callable[[bytes], object]) -> None:
-        """Takes in an entry of our own, unless it does not parse.
+        """Applies an item that entries wrote, by its key without the prefix.
 
-        The last good one stays in force.
+        If it doesn't parse, it is logged and the last valid one stays.
         """
         name = item.key.removeprefix(prefix)
         if item.value is None:
-            rows.pop(name, None)
+            entries.pop(name, None)
             return
         try:
-            rows[name] = read(item.value)
+            entries[name] = read(item.value)
         except ValueError as error:
             self._logger.error('entry_refused',
                                key=item.key,
@@ -384,7 +409,11 @@
 
     def _apply_server(self, servers: dict[str, tables.Server],
                       item: Item) -> bool:
-        """Takes in a server's entry; returns if it is more than a heartbeat."""
+        """Applies a server's registration.
+
+        Returns:
+          Whether anything changed that a heartbeat alone doesn't change.
+        """
         name = item.key.removeprefix(SERVERS)
         known = self._servers_by_name.get(name)
         if item.value is None:
@@ -395,7 +424,8 @@
             self._log_refused_server(name, item, found)
             return known is not None and servers.pop(known.id, None) is not None
         if known is not None and known.id == found.id:
-            # A restored store may have lost that it is draining.
+            # A restored store may hold a registration from before the server
+            # began to drain.
             found = dataclasses.replace(
                 found,
                 seen_at=known.seen_at,
@@ -405,7 +435,8 @@
             if _is_heartbeat(known, found, now):
                 found = known
         elif known is not None and tables.has_replaced(known, found):
-            self._log_refused_server(name, item, 'of an earlier start')
+            self._log_refused_server(name, item,
+                                     'registered by an earlier process')
             return False
         elif known is not None:
             servers.pop(known.id, None)
@@ -424,10 +455,10 @@
         return read
 
     def read_peers(self, items: Iterable[Item]) -> list[ports.Peer]:
-        """Returns the entries that registered; what doesn't parse names none.
+        """Parses the registrations of entries; skips those that don't parse.
 
         Args:
-          items: Their items; they aren't taken in.
+          items: The items; the copy doesn't change.
         """
         peers: dict[str, ports.Peer] = {}
         for item in items:
@@ -443,7 +474,7 @@
 
 def _is_heartbeat(known: tables.Server, found: tables.Server,
                   now: float) -> bool:
-    """Returns whether nothing has changed but what a heartbeat counts down."""
+    """Returns whether only the remaining warm-up time has changed."""
     same = dataclasses.replace(found,
                                warmup_ends_at=known.warmup_ends_at) == known
     return same and found.warmup_ends_at < max(known.warmup_ends_at,
@@ -453,7 +484,8 @@
 def _find_last_changes(items: Iterable[Item], after: int) -> list[Item]:
     """Returns the last change of each key since a revision, in order.
 
-    Those before it would fill the links of all who are told.
+    Earlier changes of a key are left out: they would fill the links of all
+    entries that get the news.
     """
     last: dict[str, Item] = {}
     for item in items:
@@ -464,18 +496,19 @@
     return sorted(last.values(), key=lambda item: item.revision)
 
 
-def _write_news(items: Iterable[Item], room: float) -> bytes:
+def _encode_news(items: Iterable[Item],
+                 max_configuration_bytes: float) -> bytes:
     rows = [
         row for item in items
         if len((row := _pack_item(item)).get('Packed', row.get('Value', ''))) <=
-        room or item.key != CONFIGURATION
+        max_configuration_bytes or item.key != CONFIGURATION
     ]
     return zlib.compress(json.dumps(rows).encode(),
                          COMPRESSION_LEVEL) if rows else b''
 
 
-def _read_news(data: bytes) -> list[Item]:
-    """Reads news; an entry of an earlier release doesn't compress them."""
+def _decode_news(data: bytes) -> list[Item]:
+    """Decodes news; entries of an earlier release send them uncompressed."""
     if data and data[:1] != b'[':
         data = zlib.decompress(data)
     return [read_item(row) for row in json.loads(data or b'[]')]
@@ -483,7 +516,7 @@
 
 def make_assignment_reader(
         item: Item) -> Callable[[bytes], ports.SavedAssignment]:
-    """Returns what reads the assignment that an item holds."""
+    """Returns a parser of an assignment that sets its revision."""
 
     def read(data: bytes) -> ports.SavedAssignment:
         return ports.SavedAssignment(documents.read_assignment(data),
