--- a/lentilmoor/platform/grantconnections.py
+++ b/lentilmoor/platform/grantconnections.py
@@ -1,7 +1,7 @@
-"""Connections that carry grants of keys to backend servers.
+"""A pool of the connections over which backend servers are granted keys.
 
-A fence goes over one of them only, so each has a number, and a grant may be
-bound to one.
+A fencing token is only ever sent over one connection. Each connection therefore
+has a number, and a grant may be bound to the connection with a number.
 """
 
 from collections.abc import Iterator
@@ -19,28 +19,29 @@
 from lentilmoor.edge import tables
 from lentilmoor.platform import store
 
-# Links to one server. A grant that is answered late must not keep the others
-# beyond their time limit; each server takes a limited number of connections.
-MOST_LINKS = 8
-# Links to servers that are sent no grants any more are closed after this.
-IDLE_MS = 30_000.0
+# More than one, so that a grant that is answered late doesn't delay the others
+# beyond their timeout; few, as each server accepts a limited number.
+MAX_CONNECTIONS_PER_SERVER = 8
+# Connections to a server that is sent no grants are closed after this time.
+IDLE_TIMEOUT_MS = 30_000.0
 # Closing a connection resets it, also when the process is killed. Otherwise the
-# system would go on sending what was given up, for as long as its path is cut.
+# kernel would retransmit an abandoned grant, which could arrive when a network
+# partition ends.
 ABORT_ON_CLOSE = (socket.SOL_SOCKET, socket.SO_LINGER, struct.pack('ii', 1, 0))
-OPTIONS = (*store.KEEPALIVE_OPTIONS, ABORT_ON_CLOSE)
+SOCKET_OPTIONS = (*store.KEEPALIVE_OPTIONS, ABORT_ON_CLOSE)
 
-_Answer = ownership.CallOutcome
+_Outcome = ownership.CallOutcome
 
 
 @dataclasses.dataclass(slots=True)
-class Link:
+class GrantConnection:
     """A connection that carries one server's grants, one at a time.
 
     Attributes:
-      lock: Held while a grant is under way.
-      users: Grants that are under way on it or wait for it.
-      http: The connection; None before the first, or once it has ended.
-      number: Its number; no other connection ever has the same.
+      lock: Held while a grant is in flight.
+      users: Number of grants that are in flight or wait for the connection.
+      http: The connection; None before it is opened and after it is closed.
+      number: The connection's number, which is never used again.
     """
 
     lock: threading.Lock = dataclasses.field(default_factory=threading.Lock)
@@ -49,123 +50,139 @@
     number: int | None = None
 
     def close(self) -> None:
-        """Aborts the connection: what is on its way is lost."""
+        """Resets the connection; data in transit is lost."""
         if self.http is not None:
             self.http.close()
         self.http = self.number = None
 
 
 @dataclasses.dataclass(slots=True)
-class _Group:
-    """The links to one server.
+class _ServerConnections:
+    """The connections to one server.
 
     Attributes:
-      links: At most `MOST_LINKS`, free or not.
-      used_at: When one was last asked for, ms.
+      used_at: When a connection was last reserved, ms.
+      connections: At most `MAX_CONNECTIONS_PER_SERVER`, idle or in use.
     """
 
     used_at: float
-    links: list[Link] = dataclasses.field(default_factory=list)
+    connections: list[GrantConnection] = dataclasses.field(default_factory=list)
 
 
-class Links:
-    """The links to all servers; for many threads."""
+class GrantConnectionPool:
+    """The connections to all servers; thread-safe."""
 
     def __init__(self, clock: clocks.Clock):
         self._clock = clock
         self._lock = threading.Lock()
-        self._groups: dict[tuple[str, str], _Group] = {}
+        self._groups: dict[tuple[str, str], _ServerConnections] = {}
         self._numbers = itertools.count(1)
         self._idle_checked_at = clock.now()
 
     @contextlib.contextmanager
-    def take(self,
-             action: ownership.Grant) -> Iterator[Link | ownership.CallOutcome]:
-        """Gives the link for a grant, with its lock held.
+    def reserve(
+        self, action: ownership.Grant
+    ) -> Iterator[GrantConnection | ownership.CallOutcome]:
+        """Reserves a connection for a grant and holds its lock meanwhile.
+
+        Args:
+          action: The grant.
 
         Yields:
-          A link, perhaps not connected yet; or why there is none: UNLINKED, or
-          NOT_SENT if it didn't get free in time.
+          The connection, which may not be open yet; or why there is none:
+          UNLINKED if the connection that the grant is bound to has ended,
+          NOT_SENT if it didn't become free in time.
         """
         with self._lock:
             self._close_idle()
-            links = self._list_links(action.server)
-            link = _choose_or_add(links, action.link)
-            if link is not None:
-                link.users += 1
-        if link is None:
-            yield _Answer.UNLINKED
+            connections = self._list_connections(action.server)
+            connection = _select_or_add(connections, action.link)
+            if connection is not None:
+                connection.users += 1
+        if connection is None:
+            yield _Outcome.UNLINKED
             return
         wait_s = ownership.POOL_TIMEOUT_MS / clocks.MS_PER_S
-        held = link.lock.acquire(timeout=wait_s)
+        acquired = connection.lock.acquire(timeout=wait_s)
         try:
-            yield link if held else _Answer.NOT_SENT
+            yield connection if acquired else _Outcome.NOT_SENT
         finally:
-            if held:
-                link.lock.release()
+            if acquired:
+                connection.lock.release()
             with self._lock:
-                link.users -= 1
+                connection.users -= 1
 
-    def _list_links(self, server: tables.Server) -> list[Link]:
-        """Returns the links to a server; the lock is held."""
+    def _list_connections(self, server: tables.Server) -> list[GrantConnection]:
+        """Returns the connections to a server; the caller holds the lock."""
         now = self._clock.now()
         group = self._groups.setdefault((server.id, server.address),
-                                        _Group(now))
+                                        _ServerConnections(now))
         group.used_at = now
-        return group.links
+        return group.connections
 
     def _close_idle(self) -> None:
         now = self._clock.now()
-        if now - self._idle_checked_at < IDLE_MS:
+        if now - self._idle_checked_at < IDLE_TIMEOUT_MS:
             return
         self._idle_checked_at = now
         idle = [
             key for key, group in self._groups.items()
-            if now - group.used_at > IDLE_MS
+            if now - group.used_at > IDLE_TIMEOUT_MS
         ]
         for key in idle:
-            for link in self._groups.pop(key).links:
-                if not link.users:
-                    link.close()
+            for connection in self._groups.pop(key).connections:
+                if not connection.users:
+                    connection.close()
+
+    def connect(self, target: GrantConnection, address: str,
+                deadline_at: float) -> None:
+        """Opens a connection, whose lock the caller holds, if it isn't open.
 
-    def connect(self, link: Link, address: str, until: float) -> None:
-        """Connects a link, whose lock is held, if it isn't connected.
+        Args:
+          target: The connection.
+          address: host:port of the server.
+          deadline_at: When the attempt to connect times out, ms.
 
         Raises:
-          urllib3.exceptions.HTTPError: It can't be connected in time.
+          urllib3.exceptions.HTTPError: The connection can't be opened in time.
         """
-        if link.http is not None:
+        if target.http is not None:
             return
         host, _, port = address.rpartition(':')
-        left_s = find_left_s(self._clock, until)
-        connection = http_connection.HTTPConnection(host.strip('[]'),
-                                                    int(port),
-                                                    timeout=left_s,
-                                                    socket_options=OPTIONS)
+        remaining_s = find_remaining_s(self._clock, deadline_at)
+        connection = http_connection.HTTPConnection(
+            host.strip('[]'),
+            int(port),
+            timeout=remaining_s,
+            socket_options=SOCKET_OPTIONS)
         try:
             connection.connect()
         except BaseException:
             connection.close()
             raise
-        link.http, link.number = connection, next(self._numbers)
+        target.http, target.number = connection, next(self._numbers)
 
 
-def _choose_or_add(links: list[Link], number: int | None) -> Link | None:
-    """Returns the link for a grant; None if the one it is bound to has ended.
+def _select_or_add(connections: list[GrantConnection],
+                   number: int | None) -> GrantConnection | None:
+    """Returns a connection for a grant; None if the bound one has ended.
 
     Args:
-      links: Those to the server; a new one may join them.
-      number: The link that it is bound to; None if any will do.
+      connections: The connections to the server; a new one may be added.
+      number: The number of the connection that the grant is bound to; None if
+        it may use any.
     """
     if number is not None:
-        return next((link for link in links if link.number == number), None)
-    least = min(links, key=lambda link: link.users, default=None)
-    if least is not None and (not least.users or len(links) == MOST_LINKS):
-        return least
-    links.append(Link())
-    return links[-1]
-
-
-def find_left_s(clock: clocks.Clock, until: float) -> float:
-    """Returns the time left, in seconds; never 0, which would not wait."""
-    return max(1.0, until - clock.now()) / clocks.MS_PER_S
+        return next((link for link in connections if link.number == number),
+                    None)
+    least_used = min(connections, key=lambda link: link.users, default=None)
+    if least_used is not None and (not least_used.users or len(connections)
+                                   == MAX_CONNECTIONS_PER_SERVER):
+        return least_used
+    connections.append(GrantConnection())
+    return connections[-1]
+
+
+def find_remaining_s(clock: clocks.Clock, deadline_at: float) -> float:
+    """Returns the time until a deadline, s; at least 1 ms, as 0 never waits."""
+    return max(1.0, deadline_at - clock.now()) / clocks.MS_PER_S
--- a/lentilmoor/platform/servers.py
+++ b/lentilmoor/platform/servers.py
@@ -1,4 +1,4 @@
-"""Control calls to backend servers: granting keys and taking them back."""
+"""Control calls to backend servers that grant keys and release them."""
 
 from collections.abc import Mapping
 import http.client
@@ -16,23 +16,24 @@
 
 _GRANT = '/-/grant'
 _RELEASE = '/-/release'
-_TOKEN = 'Lentilmoor-Handover'
+_HANDOVER_TOKEN_HEADER = 'Lentilmoor-Handover'
 _HEADERS = {'Content-Type': 'application/json'}
-# A release is answered when the work that runs on its keys has ended.
-RELEASE_MS = 2_500.0
+# A server answers a release once its requests for those keys have ended.
+RELEASE_TIMEOUT_MS = 2_500.0
 
-_Answer = ownership.CallOutcome
-_BROKEN = (urllib3.exceptions.HTTPError, http.client.HTTPException, OSError)
+_Outcome = ownership.CallOutcome
+_CONNECTION_ERRORS = (urllib3.exceptions.HTTPError, http.client.HTTPException,
+                      OSError)
 
 
 def connect_servers(clock: clocks.Clock) -> ports.ServerCalls:
-    """Returns the control calls.
+    """Returns the functions that make the control calls.
 
     Args:
-      clock: This process's time.
+      clock: This process's clock.
     """
-    pool = grantconnections.Links(clock)
-    caller = httpcalls.Caller(clock, 4, grantconnections.OPTIONS)
+    pool = grantconnections.GrantConnectionPool(clock)
+    caller = httpcalls.Caller(clock, 4, grantconnections.SOCKET_OPTIONS)
 
     def call_release(address: str, fields: Mapping,
                      timeout_ms: float) -> httpcalls.Reply | outcomes.Failed:
@@ -41,65 +42,67 @@
         return caller.call(address, request, timeout_ms)
 
     def grant(action: ownership.Grant) -> ownership.GrantResult:
-        with pool.take(action) as link:
-            if isinstance(link, _Answer):
-                return ownership.GrantResult(link)
-            return _grant_over(pool, link, action, clock)
+        with pool.reserve(action) as connection:
+            if isinstance(connection, _Outcome):
+                return ownership.GrantResult(connection)
+            return _send_grant(pool, connection, action, clock)
 
     def release(action: ownership.Release) -> tuple[ownership.CallOutcome, str]:
-        item = action.key_range
-        fields = {'From': item.first, 'To': item.last, 'fence': item.fence}
-        reply = call_release(action.server.address, fields, RELEASE_MS)
+        keys = action.key_range
+        fields = {'From': keys.first, 'To': keys.last, 'fence': keys.fence}
+        reply = call_release(action.server.address, fields, RELEASE_TIMEOUT_MS)
         token = ''
         if isinstance(reply, httpcalls.Reply):
-            token = reply.headers.get(_TOKEN, '')
-        return _judge_reply(reply), token
+            token = reply.headers.get(_HANDOVER_TOKEN_HEADER, '')
+        return _classify_reply(reply), token
 
     def probe(action: ownership.Probe) -> ownership.CallOutcome:
-        # Releases key 0. The keys of a server that is probed are about to move,
-        # so that it may lose one early.
+        # A probe releases key 0. The keys of a probed server are about to move,
+        # so it may as well lose one early.
         fields = {'From': 0, 'To': 0, 'fence': 0}
-        return _judge_reply(
+        return _classify_reply(
             call_release(action.server.address, fields,
                          ownership.GRANT_TIMEOUT_MS))
 
     return ports.ServerCalls(grant, release, probe)
 
 
-def _grant_over(pool: grantconnections.Links, link: grantconnections.Link,
+def _send_grant(pool: grantconnections.GrantConnectionPool,
+                connection: grantconnections.GrantConnection,
                 action: ownership.Grant,
                 clock: clocks.Clock) -> ownership.GrantResult:
-    """Sends a grant over a link, whose lock is held."""
-    until = clock.now() + ownership.GRANT_TIMEOUT_MS
-    if link.http is not None and not link.http.is_connected:
-        link.close()
-    # Another grant may have closed or replaced it while this one waited.
-    if action.link is not None and action.link != link.number:
-        return ownership.GrantResult(_Answer.UNLINKED)
+    """Sends a grant over a connection whose lock the caller holds."""
+    deadline_at = clock.now() + ownership.GRANT_TIMEOUT_MS
+    if connection.http is not None and not connection.http.is_connected:
+        connection.close()
+    # Another grant may have closed or replaced the connection meanwhile.
+    if action.link is not None and action.link != connection.number:
+        return ownership.GrantResult(_Outcome.UNLINKED)
     try:
-        pool.connect(link, action.server.address, until)
-    except _BROKEN:
-        return ownership.GrantResult(_Answer.NOT_SENT)
-    number = link.number
+        pool.connect(connection, action.server.address, deadline_at)
+    except _CONNECTION_ERRORS:
+        return ownership.GrantResult(_Outcome.NOT_SENT)
+    number = connection.number
     try:
-        status = _post(link.http, _encode_grant(action), until, clock)
-    except _BROKEN:
-        link.close()
-        return ownership.GrantResult(_Answer.UNKNOWN, number)
-    return ownership.GrantResult(_judge_status(status), number)
-
-
-def _post(connection: http_connection.HTTPConnection, body: bytes, until: float,
-          clock: clocks.Clock) -> int:
-    """Sends a grant; returns the status of its answer."""
-    connection.timeout = grantconnections.find_left_s(clock, until)
+        status = _post_grant(connection.http, _encode_grant(action),
+                             deadline_at, clock)
+    except _CONNECTION_ERRORS:
+        connection.close()
+        return ownership.GrantResult(_Outcome.UNKNOWN, number)
+    return ownership.GrantResult(_classify_status(status), number)
+
+
+def _post_grant(connection: http_connection.HTTPConnection, body: bytes,
+                deadline_at: float, clock: clocks.Clock) -> int:
+    """Sends a grant; returns the status code of the answer."""
+    connection.timeout = grantconnections.find_remaining_s(clock, deadline_at)
     connection.request('POST',
                        _GRANT,
                        body,
                        _HEADERS,
                        preload_content=False,
                        decode_content=False)
-    connection.timeout = grantconnections.find_left_s(clock, until)
+    connection.timeout = grantconnections.find_remaining_s(clock, deadline_at)
     response = connection.getresponse()
     response.read()
     return response.status
@@ -117,19 +120,20 @@
     return json.dumps(fields).encode()
 
 
-def _judge_reply(
+def _classify_reply(
         reply: httpcalls.Reply | outcomes.Failed) -> ownership.CallOutcome:
     if isinstance(reply, outcomes.Failed):
         if reply.reason is outcomes.Reason.CONNECT_FAILED:
-            return _Answer.NOT_SENT
-        return _Answer.UNKNOWN
-    return _judge_status(reply.status)
+            return _Outcome.NOT_SENT
+        return _Outcome.UNKNOWN
+    return _classify_status(reply.status)
 
 
-def _judge_status(status: int) -> ownership.CallOutcome:
+def _classify_status(status: int) -> ownership.CallOutcome:
     if status == 200:
-        return _Answer.DONE
+        return _Outcome.DONE
     if status == 409:
-        return _Answer.REFUSED
-    # Another process at this address answers, or the server rejects the call.
-    return _Answer.DECLINED
+        return _Outcome.REFUSED
+    # Another process answered at this address, or the server rejected the call
+    # for another reason than its fence.
+    return _Outcome.DECLINED
