--- a/lentilmoor/platform/documents.py
+++ b/lentilmoor/platform/documents.py
@@ -1,10 +1,11 @@
-"""Decodes what the operator and the backend servers keep in the store.
+"""Decodes the values that the operator and the servers write to the store.
 
-Also the forms of what lentilmoor itself keeps there. The structures check
-types; what the functions return has the product's own names.
+It also encodes and decodes lentilmoor's own values there. The private
+structures check the types of the fields; the functions return the types of the
+rest of the program.
 
-They are of `msgspec`, as loading pydantic and making its models took 0.10 s of
-the 0.36 s of processor time in which an entry starts.
+The structures use `msgspec`, as importing pydantic and building its models took
+0.10 s of the 0.36 s of CPU time that the start of an entry takes.
 """
 
 from typing import Annotated
@@ -18,15 +19,16 @@
 from lentilmoor.edge import ports
 from lentilmoor.edge import tables
 
-# `download` is a large answer to a request that may be repeated.
+# The type `download`: idempotent requests with large answers.
 _DOWNLOAD = 'download'
-_REPEATABLE = ('idempotent', _DOWNLOAD)
+_IDEMPOTENT_TYPES = ('idempotent', _DOWNLOAD)
 
 _Positive = Annotated[float, msgspec.Meta(gt=0)]
 
 
-# What isn't known is ignored; fields are spelled `MaxConns` on the wire.
-class _Part(msgspec.Struct, rename='pascal'):
+# Unknown fields are ignored. On the wire, field names are in Pascal case:
+# `MaxConns`.
+class _RouteTarget(msgspec.Struct, rename='pascal'):
     service: str
     weight: Annotated[float, msgspec.Meta(ge=0)]
 
@@ -34,24 +36,24 @@
 class _Route(msgspec.Struct, rename='pascal'):
     host: str
     prefix: str
-    # How often a request may run.
+    # Whether a request may run more than once; see `_IDEMPOTENT_TYPES`.
     type: str
     timeout_ms: _Positive
-    # Answers within it are worth all they can be.
+    # Answers within this time have their full value to the caller.
     latency_target_ms: _Positive
     priority: int = 0
-    # Servers that one request may be sent to.
+    # Number of servers that one request may be sent to.
     attempts: int = 1
     service: str = ''
-    split: tuple[_Part, ...] = ()
+    split: tuple[_RouteTarget, ...] = ()
 
 
 class _Service(msgspec.Struct, rename='pascal'):
-    # Connections that each server accepts from all callers together.
+    # Connections that each server accepts in total.
     max_conns: int = 100
-    # Whether each key has one owner.
+    # Whether each key is owned by one server at a time.
     sharded: bool = False
-    # How long keys that came without a token are slow.
+    # For how long keys that were granted without a handover token are slow.
     warm_s: float = 0.0
 
 
@@ -72,16 +74,16 @@
 class _Server(msgspec.Struct, rename='pascal'):
     service: Annotated[str, msgspec.Meta(min_length=1)]
     addr: Annotated[str, msgspec.Meta(pattern=r'^[^:\s]+:\d+$')]
-    # Its failure domain.
+    # The server's failure domain.
     zone: str
     version: str
     slots: Annotated[int, msgspec.Meta(ge=1)]
     state: Literal['ready', 'draining']
-    # How much longer it is slow after its start.
+    # For how long the server is still slow after its start.
     warmup_left_ms: float
-    # Counts the process's heartbeats.
+    # Number of the heartbeat, counted by the process.
     seq: int
-    # When the process started, Unix ms: one that starts again may keep its id.
+    # When the process started, Unix ms. A restarted server may keep its id.
     born: int | None = msgspec.field(name='born', default=None)
 
 
@@ -103,9 +105,10 @@
     crashes: list[_Crash]
 
 
-# The store has checked it. Numbers that came as text are taken, 5.0 for 5 too.
+# The store has validated the configuration, so numbers in text and 5.0 for 5
+# are accepted.
 _read_configuration = msgspec.json.Decoder(_Configuration, strict=False).decode
-# Anybody may have written it: what isn't as a server writes it names none.
+# Anyone may have written the key of a server, so decoding is strict.
 _read_server = msgspec.json.Decoder(_Server).decode
 _read_assignment = msgspec.json.Decoder(keyranges.Assignment).decode
 _read_peer = msgspec.json.Decoder(_Peer).decode
@@ -114,7 +117,7 @@
 
 
 def parse_configuration(data: bytes) -> tables.Configuration | str:
-    """Returns the operator's configuration, or why it isn't one."""
+    """Returns the operator's configuration, or why it doesn't parse."""
     try:
         model = _read_configuration(data)
     except _ERRORS as error:
@@ -136,27 +139,27 @@
 
 def _convert_route(name: str, item: _Route) -> tables.Route:
     if item.split:
-        parts = tuple(
+        targets = tuple(
             tables.RouteTarget(part.service, part.weight)
             for part in item.split)
     else:
-        parts = (tables.RouteTarget(item.service, 1.0),)
-    # What isn't known to be safe to repeat isn't repeated.
-    once = item.type not in _REPEATABLE
+        targets = (tables.RouteTarget(item.service, 1.0),)
+    # A request of an unknown type may not be safe to retry.
+    once = item.type not in _IDEMPOTENT_TYPES
     return tables.Route(
         name, item.host.lower(), item.prefix,
         tables.RepeatPolicy.ONCE if once else tables.RepeatPolicy.IDEMPOTENT,
-        item.type == _DOWNLOAD, parts, item.attempts, item.timeout_ms,
+        item.type == _DOWNLOAD, targets, item.attempts, item.timeout_ms,
         item.latency_target_ms, item.priority)
 
 
 def parse_server(name: str, data: bytes, now: float) -> tables.Server | str:
-    """Returns a backend server, or why its entry doesn't parse.
+    """Returns a backend server, or why its registration doesn't parse.
 
     Args:
-      name: Its id there.
-      data: Its entry.
-      now: ms.
+      name: The server's id in the store.
+      data: The registration.
+      now: The current time, ms.
     """
     try:
         model = _read_server(data)
@@ -170,60 +173,68 @@
 
 
 def write_assignment(assignment: keyranges.Assignment, mark: str) -> bytes:
-    """Returns the form in which an assignment is kept.
+    """Encodes an assignment for the store.
 
     Args:
       assignment: The assignment.
-      mark: What no other write has, to tell it from a rival's.
+      mark: A value unique to this write, which distinguishes it from the same
+        assignment written by another entry.
     """
     return msgspec.json.encode(msgspec.to_builtins(assignment) | {'mark': mark})
 
 
 def read_assignment(data: bytes) -> keyranges.Assignment:
-    """Reads what `write_assignment` wrote.
+    """Decodes a value that `write_assignment` returned.
 
     Raises:
-      MsgspecError: It is something else.
+      MsgspecError: The value doesn't parse.
     """
     return _read_assignment(data)
 
 
 def write_peer(peer: ports.Peer) -> bytes:
-    """Returns the form in which an entry is kept."""
+    """Encodes an entry's registration for the store."""
     return msgspec.json.encode(
         _Peer(peer.instance, peer.address, peer.small, peer.domain))
 
 
 def read_peer(data: bytes) -> ports.Peer:
-    """Reads what `write_peer` wrote.
+    """Decodes a value that `write_peer` returned.
 
     Raises:
-      MsgspecError: It is something else.
+      MsgspecError: The value doesn't parse.
     """
     model = _read_peer(data)
     return ports.Peer(model.instance, model.address, model.small, model.domain)
 
 
 def write_suspect(suspect: ports.SavedSuspect, clock: clocks.Clock) -> bytes:
-    """Returns the form in which a request that crashes servers is kept."""
-    ahead_ms = clock.wall() - clock.now()
+    """Encodes the crashes of a suspect request for the store, in Unix time."""
+    wall_offset_ms = clock.wall() - clock.now()
     return msgspec.json.encode(
         _Suspect(suspect.service, [
-            _Crash(item.server, item.at + ahead_ms) for item in suspect.crashes
+            _Crash(item.server, item.at + wall_offset_ms)
+            for item in suspect.crashes
         ]))
 
 
 def read_suspect(fingerprint: bytes, data: bytes, revision: int,
                  clock: clocks.Clock) -> ports.SavedSuspect:
-    """Reads what `write_suspect` wrote.
+    """Decodes a value that `write_suspect` returned.
+
+    Args:
+      fingerprint: The request's fingerprint, from the key.
+      data: The value.
+      revision: The store's revision of the key's last change.
+      clock: This process's clock; crash times are converted to it.
 
     Raises:
-      MsgspecError: It is something else.
+      MsgspecError: The value doesn't parse.
     """
     model, now = _read_suspect(data), clock.now()
-    ahead_ms = clock.wall() - now
+    wall_offset_ms = clock.wall() - now
     return ports.SavedSuspect(
         fingerprint, model.service,
         tuple(
-            crashes.Crash(item.server, min(now, item.at - ahead_ms))
+            crashes.Crash(item.server, min(now, item.at - wall_offset_ms))
             for item in model.crashes), revision)
