--- a/lentilmoor/platform/__init__.py
+++ b/lentilmoor/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The adapter to the users' platform: the only place that knows its names."""
+"""The adapter to the users' platform; only it uses the platform's names."""
--- a/lentilmoor/platform/__main__.py
+++ b/lentilmoor/platform/__main__.py
@@ -1,7 +1,7 @@
 """Runs an entry on the platform: `python -m lentilmoor.platform`.
 
-Callers' connections are taken before the program is loaded, which takes most of
-a start.
+The socket for callers is opened before the program is imported, as the import
+takes most of the start-up time.
 """
 
 import socket
@@ -11,19 +11,19 @@
 from lentilmoor.platform import settingsfile
 
 
-def _take_callers(found: dict[str, str]) -> socket.socket | None:
-    """Returns the socket for callers; None if it can't be opened.
+def _open_caller_listener(found: dict[str, str]) -> socket.socket | None:
+    """Returns the listening socket for callers; None if it can't be opened.
 
-    The program tells why, when it tries again.
+    The program reports the reason when it tries again.
     """
     try:
-        return sockets.open_listener(found.get(settingsfile.CALLERS, ''))
+        return sockets.open_listener(found.get(settingsfile.CALLERS_FIELD, ''))
     except (OSError, ValueError):
         return None
 
 
-def _read_fields() -> dict[str, str]:
-    """Returns the settings; none if the file can't be read, as above."""
+def _read_settings() -> dict[str, str]:
+    """Returns the settings; an empty dictionary if the file can't be read."""
     try:
         return settingsfile.split_fields(settingsfile.read_text())
     except (OSError, ValueError):
@@ -31,8 +31,8 @@
 
 
 def main() -> int:
-    """Starts an entry and runs it to its end."""
-    callers = _take_callers(_read_fields())
+    """Runs an entry until it stops; returns the exit code."""
+    callers = _open_caller_listener(_read_settings())
     # pylint: disable-next=import-outside-toplevel
     from lentilmoor.platform import program
     return program.run(callers)
--- a/lentilmoor/platform/program.py
+++ b/lentilmoor/platform/program.py
@@ -25,10 +25,11 @@
     """Runs an entry with the settings that the platform wrote.
 
     Args:
-      callers: The socket on which callers' connections already arrive.
+      callers: The listening socket for callers, if it is already open.
 
     Returns:
-      An exit code, if it could not start.
+      An exit code if the settings were rejected. Otherwise the process exits
+      when the entry has stopped, and the call doesn't return.
     """
     try:
         settings, address = settings_module.parse_settings(
@@ -51,5 +52,6 @@
     entry.run(platform, instance, clock, logger, store.KEEPALIVE_OPTIONS,
               callers, started_at)
     lines.close()
-    # Threads that wait for outside calls must not hold the process.
+    # Threads that still wait for calls to other processes must not delay the
+    # exit.
     os._exit(0)  # pylint: disable=protected-access
--- a/lentilmoor/platform/settings.py
+++ b/lentilmoor/platform/settings.py
@@ -1,7 +1,7 @@
-"""Reads the settings file that the platform writes for each process.
+"""Parses the settings file that the platform writes for each process.
 
-Lines of the form a.b=value; lists are joined by commas. Fields that aren't
-known are ignored, since new ones may come.
+The file has lines of the form a.b=value; the items of lists are separated by
+commas. Unknown fields are ignored, as the platform may add new ones.
 """
 
 import math
@@ -11,7 +11,7 @@
 from lentilmoor.edge import staleness
 from lentilmoor.platform import settingsfile as fields_module
 
-# Where the deploy file says that metrics are.
+# The deployment file names this port for metrics.
 METRICS_PORT = 9464
 _MS_PER_S = 1000.0
 
@@ -26,69 +26,69 @@
       The settings, and the store's host:port.
 
     Raises:
-      SettingsError: A field is missing or not as expected, or a bound is too
-        short to be kept; names the field.
+      SettingsError: A field is missing or invalid, or a bound is too short to
+        be kept; the message names the field.
     """
     fields = fields_module.split_fields(text)
-    bounds = _read_bounds(_take(fields, 'Bounds'))
+    bounds = _read_bounds(_require(fields, 'Bounds'))
     settings = ports.Settings(
-        instance=_take(fields, 'Node'),
-        domain=_take(fields, 'Zone'),
-        callers=_take_address(fields, fields_module.CALLERS),
-        ready=_take_address(fields, 'Listen.Ready'),
-        control=_take_address(fields, 'Listen.Control'),
+        instance=_require(fields, 'Node'),
+        domain=_require(fields, 'Zone'),
+        callers=_require_address(fields, fields_module.CALLERS_FIELD),
+        ready=_require_address(fields, 'Listen.Ready'),
+        control=_require_address(fields, 'Listen.Control'),
         metrics=f'{_find_host(fields)}:{METRICS_PORT}',
         seeds=tuple(
             item for item in fields.get('Seeds', '').split(',') if item),
-        cores=(_take_number(fields, 'Limits.CpuShare') *
-               _take_number(fields, 'Limits.Cores')),
-        link_mbps=_take_number(fields, 'Limits.LinkMbps'),
+        cores=(_parse_number(fields, 'Limits.CpuShare') *
+               _parse_number(fields, 'Limits.Cores')),
+        link_mbps=_parse_number(fields, 'Limits.LinkMbps'),
         bounds=bounds,
         first_start=fields.get('Bootstrap', '').strip() == 'true')
     staleness.make_limits(bounds.drain_ms, bounds.config_apply_ms)
-    return settings, _take_address(fields, 'Platform.Addr')
+    return settings, _require_address(fields, 'Platform.Addr')
 
 
 def _find_host(fields: dict[str, str]) -> str:
-    return _take_address(fields, 'Listen.Control').rpartition(':')[0]
+    return _require_address(fields, 'Listen.Control').rpartition(':')[0]
 
 
 def _read_bounds(text: str) -> ports.Bounds:
     values = dict(item.split('=', 1) for item in text.split(',') if '=' in item)
 
-    def take(name: str) -> float:
-        return _take_number(values, name, f'Bounds: {name}')
+    def parse_bound(name: str) -> float:
+        return _parse_number(values, name, f'Bounds: {name}')
 
     return ports.Bounds(
-        drain_ms=take('DrainMs'),
-        grace_ms=take('GraceS') * _MS_PER_S,
-        retry_ratio=take('RetryRatio'),
-        retry_slack=take('RetrySlack'),
-        retry_window_ms=take('RetryWindowS') * _MS_PER_S,
-        hold_max_ms=take('HoldMaxMs'),
-        config_apply_ms=(take('ConfigApplyMs')
+        drain_ms=parse_bound('DrainMs'),
+        grace_ms=parse_bound('GraceS') * _MS_PER_S,
+        retry_ratio=parse_bound('RetryRatio'),
+        retry_slack=parse_bound('RetrySlack'),
+        retry_window_ms=parse_bound('RetryWindowS') * _MS_PER_S,
+        hold_max_ms=parse_bound('HoldMaxMs'),
+        config_apply_ms=(parse_bound('ConfigApplyMs')
                          if 'ConfigApplyMs' in values else math.inf))
 
 
-def _take(fields: dict[str, str], name: str) -> str:
+def _require(fields: dict[str, str], name: str) -> str:
     value = fields.get(name, '').strip()
     if not value:
         raise exceptions.SettingsError([f'{name}: missing'])
     return value
 
 
-def _take_address(fields: dict[str, str], name: str) -> str:
-    value = _take(fields, name)
+def _require_address(fields: dict[str, str], name: str) -> str:
+    value = _require(fields, name)
     host, _, port = value.rpartition(':')
     if not host or not port.isdigit():
         raise exceptions.SettingsError([f'{name}: expected host:port'])
     return value
 
 
-def _take_number(fields: dict[str, str], name: str, shown: str = '') -> float:
+def _parse_number(fields: dict[str, str], name: str, label: str = '') -> float:
     value = fields.get(name, '').strip()
     try:
         return float(value)
     except ValueError:
         raise exceptions.SettingsError(
-            [f'{shown or name}: expected a number, got {value!r}']) from None
+            [f'{label or name}: expected a number, got {value!r}']) from None
