--- a/tests/platformhelp.py
+++ b/tests/platformhelp.py
@@ -1,4 +1,4 @@
-"""Runs entries as processes against the stand-ins of the users' platform."""
+"""Runs entry processes against stand-ins for the users' platform."""
 
 import contextlib
 import http.client
@@ -30,10 +30,10 @@
 
 
 def pick_port() -> int:
-    """Returns a port of loopback that is free now.
+    """Returns a free loopback port to listen on.
 
-    Connections take theirs from a higher range: one of those could be in use
-    when a process that was told to listen there has started.
+    It is below the ephemeral range: the kernel could assign a port of that
+    range to a connection before the process that is to listen there starts.
     """
     while True:
         port = _ports.randrange(*_LISTENING_PORTS)
@@ -43,11 +43,11 @@
 
 
 def make_configuration(version: int = 1, **changes) -> dict:
-    """Returns an operator's document with three routes.
+    """Returns an operator's configuration with three routes.
 
     Args:
-      version: Its version.
-      **changes: Routes that replace or join the usual ones, by name.
+      version: The configuration's version.
+      **changes: Routes that are added or replace one of the three, by name.
     """
     routes = {
         'stock': {
@@ -103,13 +103,13 @@
 
 
 def connect_store(standin: platform_store.PlatformStore) -> ports.Store:
-    """Returns a client of a store's stand-in."""
+    """Returns a client of a stand-in store."""
     return store.connect_store(standin.address, clocks.make_suspend_clock(),
                                logs.make_logger('test'))
 
 
 class Entry:
-    """An entry's process."""
+    """A running entry process with its settings file and log."""
 
     def __init__(self,
                  standin: platform_store.PlatformStore,
@@ -117,60 +117,62 @@
                  seeds: str = '',
                  link_mbps: float = 1_000.0):
         self.ports = [pick_port() for _ in range(3)]
-        # Cleaned up by `close`.
+        # `close` removes it.
         # pylint: disable-next=consider-using-with
         self.folder = tempfile.TemporaryDirectory()
         path = pathlib.Path(self.folder.name) / 'node.conf'
         lines = [
-            f'Node=edge-{number}', 'Zone=zone-a', 'Listen.Front=' + self._at(0),
-            'Listen.Ready=' + self._at(1), 'Listen.Control=' + self._at(2),
-            'Bootstrap=true', 'Limits.CpuShare=0.86', 'Limits.Cores=1',
+            f'Node=edge-{number}', 'Zone=zone-a',
+            'Listen.Front=' + self._make_address(0),
+            'Listen.Ready=' + self._make_address(1),
+            'Listen.Control=' + self._make_address(2), 'Bootstrap=true',
+            'Limits.CpuShare=0.86', 'Limits.Cores=1',
             f'Limits.LinkMbps={link_mbps}', f'Seeds={seeds}',
             f'Bounds={_BOUNDS}', f'Platform.Addr={standin.address}'
         ]
         path.write_text('\n'.join(lines), encoding='utf-8')
         self.log = pathlib.Path(self.folder.name) / 'log'
         with self.log.open('wb') as log:
-            # Ended by `close`, by its id.
+            # `close` kills it.
             self.process = subprocess.Popen(  # pylint: disable=consider-using-with
                 [sys.executable, '-m', 'lentilmoor.platform'],
                 env=os.environ | {'LENTILMOOR_BOOT': str(path)},
                 stdout=log,
                 stderr=subprocess.STDOUT)
 
-    def _at(self, index: int) -> str:
+    def _make_address(self, index: int) -> str:
         return f'127.0.0.1:{self.ports[index]}'
 
     @property
     def control(self) -> str:
-        """host:port for other entries."""
-        return self._at(2)
+        """The host:port on which other entries reach this one."""
+        return self._make_address(2)
 
     def is_ready(self) -> bool:
-        """Returns whether the balancer would send callers."""
+        """Returns whether the readiness check succeeds."""
         try:
             return ask(self.ports[1], '/-/readyz')[0] == 200
         except OSError:
             return False
 
     def await_ready(self, seconds: float = 15.0) -> None:
-        """Waits until it is ready."""
+        """Waits until the entry is ready; raises AssertionError otherwise."""
         wait_until(self.is_ready, seconds, self.read_log)
 
     def read_log(self) -> str:
-        """Returns what it wrote."""
+        """Returns the log lines of the process."""
         return self.log.read_text(encoding='utf-8')
 
     def call(self, path: str, key: int | None = None, **options):
-        """Sends it a request; returns status, headers and body."""
+        """Sends the entry a request; returns status, headers and body."""
         return ask(self.ports[0], path, key, **options)
 
     def stop(self) -> None:
-        """Sends SIGTERM."""
+        """Sends SIGTERM, which starts a graceful shutdown."""
         self.process.send_signal(signal.SIGTERM)
 
     def close(self) -> None:
-        """Ends the process."""
+        """Kills the process and deletes its files."""
         self.process.kill()
         self.process.wait()
         self.folder.cleanup()
@@ -204,7 +206,7 @@
 
 def find_shared(servers: list[platform_server.PlatformServer],
                 keys: range) -> list[tuple[int, list[str]]]:
-    """Returns keys that more than one server holds now, and which do."""
+    """Returns the keys that several servers hold now, with those servers."""
     shared = []
     for key in keys:
         owners = [server.id for server in servers if server.holds(key)]
@@ -215,7 +217,10 @@
 
 def find_low_fences(
         servers: list[platform_server.PlatformServer]) -> list[dict]:
-    """Returns grants that a server took below or at another's fence."""
+    """Returns grants accepted with a fence not above another server's.
+
+    Only earlier grants of overlapping key ranges to other servers count.
+    """
     taken = sorted(((at, server.id, fields)
                     for server in servers
                     for at, fields in server.taken),
@@ -229,7 +234,16 @@
 
 
 def wait_until(check, seconds: float, explain=lambda: '') -> None:
-    """Waits until a check holds."""
+    """Waits until a check succeeds.
+
+    Args:
+      check: () -> whether the condition holds.
+      seconds: Timeout.
+      explain: () -> text whose end is added to the error's message.
+
+    Raises:
+      AssertionError: The check didn't succeed in time.
+    """
     until = time.monotonic() + seconds
     while not check():
         if time.monotonic() > until:
@@ -238,7 +252,7 @@
 
 
 class Deployment:
-    """A store, servers and entries."""
+    """A stand-in store with backend servers, and entry processes."""
 
     def __init__(self,
                  catalogs: int = 2,
@@ -280,7 +294,7 @@
                 for key in (0, 20_000, 40_000, 65_535)), 10)
 
     def add_entry(self, **options) -> Entry:
-        """Starts one more entry, which knows the first as a seed."""
+        """Starts another entry, whose seed is the first entry."""
         entry = Entry(self.store,
                       len(self.entries) + 1, self.entries[0].control, **options)
         self.entries.append(entry)
@@ -294,7 +308,7 @@
                     if instance.startswith(f'edge-{number}.'))
 
     def add_route(self, version: int, prefix: str) -> None:
-        """Writes a configuration with one more route, like that of reports."""
+        """Writes a configuration with another route, a copy of `report`."""
         route = make_configuration()['Routes']['report']
         self.store.put(
             'op/config',
@@ -303,7 +317,7 @@
             }}))
 
     def close(self) -> None:
-        """Ends everything that was started."""
+        """Stops all processes and stand-ins."""
         for entry in [*self.entries, *self.ended]:
             entry.close()
         for server in [*self.catalogs, *self.orders]:
--- a/tests/test_platform_documents.py
+++ b/tests/test_platform_documents.py
@@ -1,4 +1,4 @@
-"""Tests of what the adapter reads: settings, documents, headers, the store."""
+"""Tests of the adapter's settings, documents, headers and store client."""
 
 import json
 import math
@@ -46,8 +46,8 @@
 }
 
 
-class _Lines:
-    """Keeps the lines that a logger would write."""
+class _LogRecorder:
+    """Records the error lines that are logged."""
 
     def __init__(self):
         self.written = []
@@ -72,18 +72,18 @@
             _SETTINGS.replace('New=1', 'ConfigApplyMs=2500'))
         self.assertEqual(found.bounds.config_apply_ms, 2_500.0)
 
-    def test_only_what_says_so_starts_for_the_first_time(self):
+    def test_only_bootstrap_true_means_a_first_start(self):
         for value, first in (('true', True), ('false', False), ('', False)):
             found, _ = settings.parse_settings(_SETTINGS +
                                                f'\nBootstrap={value}\n')
             self.assertIs(found.first_start, first)
 
-    def test_a_bound_that_can_not_be_kept_is_refused(self):
+    def test_a_bound_that_is_too_short_is_rejected(self):
         with self.assertRaisesRegex(exceptions.SettingsError, 'bounds: 300 ms'):
             settings.parse_settings(
                 _SETTINGS.replace('New=1', 'ConfigApplyMs=300'))
 
-    def test_a_message_names_the_field_that_is_wrong(self):
+    def test_error_messages_name_the_invalid_field(self):
         for before, after, named in (
             ('Zone=a', '', 'Zone: missing'),
             ('10.0.0.1:81', 'here', 'Listen.Ready: expected host:port'),
@@ -96,7 +96,7 @@
 
 class DocumentsTest(unittest.TestCase):
 
-    def test_the_operators_document_becomes_the_products_own_types(self):
+    def test_an_operators_configuration_is_parsed(self):
         data = json.dumps(platformhelp.make_configuration(7)).encode()
         found = documents.parse_configuration(data)
         self.assertEqual(found.version, 7)
@@ -107,33 +107,33 @@
         self.assertTrue(found.routes['report'].large_answers)
         self.assertEqual(found.limits.idle_timeout_ms, 15_000.0)
 
-    def test_a_kind_of_request_that_is_not_known_is_never_repeated(self):
+    def test_requests_of_an_unknown_type_are_never_retried(self):
         fields = platformhelp.make_configuration(7)
         fields['Routes']['report']['Type'] = 'newer'
         found = documents.parse_configuration(json.dumps(fields).encode())
         self.assertEqual(found.routes['report'].repeat,
                          tables.RepeatPolicy.ONCE)
 
-    def test_what_is_no_document_is_told_and_not_raised(self):
+    def test_parse_errors_are_returned_and_not_raised(self):
         for data in (b'', b'{}', b'{"Version": 1, "Routes": 7}'):
             self.assertIsInstance(documents.parse_configuration(data), str)
             self.assertIsInstance(documents.parse_server('s', data, 0.0), str)
 
 
-class DialectTest(unittest.TestCase):
+class HeaderFormatTest(unittest.TestCase):
 
     def setUp(self):
-        self.dialect = headerformat.make_header_format()
+        self.header_format = headerformat.make_header_format()
 
-    def test_callers_headers_that_make_no_sense_are_taken_as_absent(self):
-        fields = self.dialect.parse_caller_headers({
+    def test_invalid_caller_headers_are_treated_as_absent(self):
+        fields = self.header_format.parse_caller_headers({
             b'Lentilmoor-Deadline-Ms': b'soon',
             b'Lentilmoor-Shard-Key': b'12'
         })
         self.assertEqual(fields, ports.CallerHeaders('', None, 12))
 
-    def test_what_a_server_says_of_its_answer(self):
-        fields = self.dialect.parse_answer_headers(
+    def test_a_servers_answer_headers_are_parsed(self):
+        fields = self.header_format.parse_answer_headers(
             200, {
                 'Lentilmoor-Upstream-Load': '2,3,2',
                 'Keep-Alive': 'timeout=10',
@@ -148,12 +148,12 @@
     def test_an_invalid_rate_limit_is_treated_as_absent(self):
         for text, rate in (('8.5', 8.5), ('0', 0.0), ('', None), ('few', None),
                            ('-1', None), ('nan', None), ('inf', None)):
-            fields = self.dialect.parse_answer_headers(200,
-                                                       {'Server-Limit': text})
+            fields = self.header_format.parse_answer_headers(
+                200, {'Server-Limit': text})
             self.assertEqual(fields.rate_limit, rate)
 
     def test_retry_after_is_read_from_429_and_503_only(self):
-        read = self.dialect.parse_answer_headers
+        read = self.header_format.parse_answer_headers
         for status, text, pause_ms in ((503, '3', 3_000.0), (429, '0.5', 500.0),
                                        (200, '3', None), (503, '', None),
                                        (503, '-1', None), (503, 'nan', None),
@@ -162,13 +162,13 @@
             self.assertEqual(fields.retry_after_ms, pause_ms)
 
     def test_draining_is_read_from_the_server_leaving_header(self):
-        read = self.dialect.parse_answer_headers
+        read = self.header_format.parse_answer_headers
         self.assertTrue(read(200, {'Server-Leaving': '1'}).draining)
         self.assertFalse(read(200, {'Server-Leaving': '0'}).draining)
         self.assertFalse(read(200, {}).draining)
 
-    def test_only_421_and_the_servers_own_word_mean_not_run(self):
-        read = self.dialect.parse_answer_headers
+    def test_only_421_and_the_not_executed_header_mean_not_run(self):
+        read = self.header_format.parse_answer_headers
         self.assertTrue(read(421, {}).not_run)
         self.assertTrue(read(503, {'Lentilmoor-Not-Executed': '1'}).not_run)
         self.assertFalse(read(503, {}).not_run)
@@ -186,12 +186,12 @@
         self.assignment = keyranges.Assignment(
             'x', 1, 2, (keyranges.KeyRange(0, 9, 'a', 1),))
 
-    def test_many_items_come_in_pages(self):
+    def test_many_items_are_read_in_pages(self):
         for number in range(120):
             self.standin.put(f'servers/i-{number:03}', _SERVER)
         self.assertEqual(len(self.store.load().servers), 120)
 
-    def test_a_write_whose_answer_is_lost_is_told_from_a_rivals(self):
+    def test_a_write_whose_answer_is_lost_differs_from_another_clients(self):
         self.standin.faults.lose_answers = 1
         revision = self.store.save(self.assignment, 0)
         self.assertIsInstance(revision, int)
@@ -201,7 +201,7 @@
         rival = self.store.save(self.assignment, 0)
         self.assertEqual(rival.reason, outcomes.Reason.CONFLICT)
 
-    def test_a_write_that_is_carried_out_late_is_done_once(self):
+    def test_a_write_that_is_executed_late_is_executed_once(self):
         self.standin.faults.late_s = 0.2
         found = self.store.save(self.assignment, 0)
         self.standin.faults.late_s = 0.0
@@ -211,14 +211,14 @@
             lambda: 'lentilmoor/assignment/x' in self.standin.items, 3.0)
         self.assertEqual(len(self.standin.events), 1)
 
-    def test_a_lost_lease_is_told(self):
+    def test_renewing_an_ended_lease_fails(self):
         lease = self.store.open_lease(1_000.0)
         self.assertIsNone(self.store.keep_lease(lease))
         self.assertIsNone(self.store.end_lease(lease))
         found = self.store.keep_lease(lease)
         self.assertEqual(found.reason, outcomes.Reason.NOT_FOUND)
 
-    def test_entries_that_do_not_parse_leave_the_last_good_ones_in_force(self):
+    def test_items_that_do_not_parse_leave_the_last_valid_ones_in_force(self):
         self.store.save(self.assignment, 0)
         before = self.store.load()
         self.standin.put('lentilmoor/assignment/x', {'service': 7})
@@ -229,7 +229,7 @@
         self.assertFalse(after.coordinators)
         self.assertFalse(after.servers)
 
-    def test_a_heartbeat_is_no_news(self):
+    def test_a_heartbeat_does_not_raise_the_required_revision(self):
         entry = _SERVER
         self.standin.put('servers/i-1', entry)
         first = self.store.load()
@@ -246,7 +246,7 @@
         self.assertGreater(
             self.store.watch(third).required_revision, third.required_revision)
 
-    def test_an_entry_by_another_writer_names_no_server(self):
+    def test_an_invalid_registration_adds_no_server(self):
         self.standin.put('servers/i-1', _SERVER)
         self.standin.put('servers/i-2', _SERVER | {'Addr': '1.2.3.4:6'})
         strange = [
@@ -283,9 +283,9 @@
             self.assertEqual(list(self.store.load().servers), ['i-1', 'i-2'],
                              value)
 
-    def test_an_entry_that_is_overwritten_names_no_server_until_it_is_back(
+    def test_an_overwritten_registration_removes_its_server_until_restored(
             self):
-        lines = _Lines()
+        lines = _LogRecorder()
         self.store = store.connect_store(self.standin.address,
                                          clocks.make_suspend_clock(), lines)
         self.standin.put('servers/i-1', _SERVER)
@@ -299,7 +299,7 @@
         third = self.store.watch(second)
         self.assertEqual(list(third.servers), ['i-1'])
 
-    def test_a_restart_under_the_same_id_is_another_lifetime(self):
+    def test_a_restart_under_the_same_id_is_another_server_lifetime(self):
         self.standin.put('servers/i-1', _SERVER | {'born': 1_000, 'Seq': 70})
         first = self.store.load()
         (old,) = first.servers.values()
@@ -311,14 +311,14 @@
         self.assertEqual((old.name, new.name), ('i-1', 'i-1'))
         self.assertTrue(tables.has_replaced(new, old))
         self.assertFalse(tables.has_replaced(old, new))
-        # A heartbeat of the life before that was written late.
+        # A heartbeat of the earlier process that was written late.
         self.standin.put('servers/i-1', _SERVER | {'born': 1_000, 'Seq': 71})
         third = self.store.watch(second)
         self.assertEqual(list(third.servers), [new.id])
         self.standin.delete('servers/i-1')
         self.assertFalse(self.store.watch(third).servers)
 
-    def test_what_one_entry_knows_another_can_take_over(self):
+    def test_an_entry_restores_another_entrys_dump(self):
         self.standin.put('op/config', platformhelp.make_configuration(3))
         self.store.load()
         other = store.connect_store('127.0.0.1:1', clocks.make_suspend_clock(),
--- a/tests/test_platform_entry.py
+++ b/tests/test_platform_entry.py
@@ -1,4 +1,4 @@
-"""Tests of entries as processes, against stand-ins of the users' platform."""
+"""Tests of entry processes against stand-ins for the users' platform."""
 
 import contextlib
 import http.client
@@ -11,7 +11,7 @@
 from tests import platformhelp
 
 
-class CalmTest(unittest.TestCase):
+class RequestTest(unittest.TestCase):
 
     @classmethod
     def setUpClass(cls):
@@ -27,17 +27,17 @@
             server.faults = platform_server.Faults()
             server.work_s = 0.005
 
-    def _fault_all(self, answer: str, count: int = 1) -> None:
+    def _inject_fault(self, answer: str, count: int = 1) -> None:
         for server in self.deployment.orders:
             server.faults = platform_server.Faults(answer, count)
 
-    def _runs_of(self, request_id: str) -> list[platform_server.Run]:
+    def _list_runs(self, request_id: str) -> list[platform_server.Run]:
         return [
             run for server in self.deployment.orders for run in server.journal
             if run.request_id == request_id
         ]
 
-    def test_an_answer_comes_back_whole_with_its_proof(self):
+    def test_an_answer_is_returned_unchanged_with_its_proof(self):
         status, headers, body = self.entry.call('/order/a%20b?x=1&y=%2F',
                                                 method='POST',
                                                 body=b'two drums',
@@ -45,7 +45,7 @@
         self.assertEqual(status, 200)
         self.assertEqual(headers['Lentilmoor-Upstream-Seal'], 'seal.r1')
         self.assertTrue(body.endswith(b' /order/a%20b?x=1&y=%2F'))
-        run, = self._runs_of('r1')
+        run, = self._list_runs('r1')
         self.assertEqual((run.method, run.body), ('POST', b'two drums'))
 
     def test_each_key_reaches_the_server_that_holds_it(self):
@@ -53,11 +53,11 @@
             status, _, _ = self.entry.call('/stock/lot', key)
             self.assertEqual(status, 200)
 
-    def test_a_path_without_route_is_not_found(self):
+    def test_a_path_without_a_route_is_not_found(self):
         self.assertEqual(self.entry.call('/nothing/here')[0], 404)
         self.assertEqual(self.entry.call('/stock')[0], 404)
 
-    def test_a_read_whose_answer_is_lost_is_tried_elsewhere(self):
+    def test_a_read_whose_answer_is_lost_is_retried_on_another_server(self):
         for fault in ('lost', 'cut', 'spoiled', 'failed'):
             with self.subTest(fault=fault):
                 self.setUp()
@@ -71,7 +71,7 @@
     def test_an_order_whose_answer_is_lost_is_never_run_again(self):
         for fault in ('lost', 'cut', 'spoiled'):
             with self.subTest(fault=fault):
-                self._fault_all(fault)
+                self._inject_fault(fault)
                 status, headers, _ = self.entry.call('/order/x',
                                                      method='POST',
                                                      body=b'1',
@@ -79,30 +79,30 @@
                 self.assertIn(status, (502, 504))
                 self.assertNotIn('Retry-After', headers)
                 self.assertNotIn('Lentilmoor-Upstream-Seal', headers)
-                self.assertEqual(len(self._runs_of('o-' + fault)), 1)
+                self.assertEqual(len(self._list_runs('o-' + fault)), 1)
 
-    def test_a_second_answer_is_never_taken_for_the_next_one(self):
+    def test_a_duplicate_answer_is_never_used_for_the_next_request(self):
         for number in range(12):
-            self._fault_all('double')
+            self._inject_fault('double')
             status, headers, _ = self.entry.call('/report/x',
                                                  request_id=f'd{number}')
             self.assertEqual(status, 200)
             self.assertEqual(headers['Lentilmoor-Attempt-Id'], f'd{number}')
 
-    def test_an_answer_without_length_is_passed_on_whole(self):
-        self._fault_all('unframed')
+    def test_an_answer_without_content_length_is_forwarded_completely(self):
+        self._inject_fault('unframed')
         status, headers, body = self.entry.call('/report/without-length')
         self.assertEqual(status, 200)
         self.assertEqual(int(headers['Content-Length']), len(body))
         self.assertTrue(body.endswith(b'/report/without-length'))
 
-    def test_a_servers_own_failure_of_an_order_is_passed_on(self):
-        self._fault_all('failed')
+    def test_a_servers_own_failure_of_an_order_is_forwarded(self):
+        self._inject_fault('failed')
         status, headers, _ = self.entry.call('/order/x', method='POST')
         self.assertEqual(status, 500)
         self.assertIn('Lentilmoor-Upstream-Seal', headers)
 
-    def test_a_caller_that_leaves_ends_the_work(self):
+    def test_a_disconnected_caller_cancels_its_request(self):
         for server in self.deployment.orders:
             server.work_s = 1.0
         before = sum(server.cancelled for server in self.deployment.orders)
@@ -119,7 +119,7 @@
         platformhelp.wait_until(lambda: 'caller_left' in self.entry.read_log(),
                                 1.0)
 
-    def test_what_is_given_up_is_answered_at_the_routes_timeout(self):
+    def test_a_slow_request_is_answered_504_at_the_routes_timeout(self):
         for server in self.deployment.orders:
             server.work_s = 3.0
         began = time.monotonic()
@@ -127,7 +127,7 @@
         self.assertEqual(status, 504)
         self.assertLess(time.monotonic() - began, 1.25)
 
-    def test_bad_input_is_refused_and_smuggles_nothing(self):
+    def test_malformed_requests_are_rejected_and_smuggle_nothing(self):
         arrivals = sum(server.arrivals for server in self.deployment.orders)
         for text in (b'Content-Length: -1\r\n\r\n',
                      b'Content-Length: x\r\n\r\n',
@@ -156,7 +156,7 @@
         self.deployment.add_route(2, '/new/')
         platformhelp.wait_until(lambda: self.entry.call('/new/x')[0] == 200,
                                 2.0)
-        # What doesn't parse, or is older, leaves the last one in force.
+        # A configuration that doesn't parse or is older isn't applied.
         self.store.put('op/config', b'{"Version": 3, "Routes": 7}')
         self.store.put('op/config', platformhelp.make_configuration(1))
         time.sleep(1.0)
@@ -164,15 +164,15 @@
         self.assertIn('configuration_refused', self.entry.read_log())
         self.assertIn('configuration_older', self.entry.read_log())
 
-    def test_a_history_that_is_gone_loses_no_change(self):
+    def test_no_change_is_lost_if_the_store_forgets_its_history(self):
         self.store.put('op/config', platformhelp.make_configuration(2))
         self.store.forget()
         self.deployment.add_route(3, '/new/')
         platformhelp.wait_until(lambda: self.entry.call('/new/x')[0] == 200,
                                 2.0)
 
-    def test_a_watch_begins_again_after_the_store_was_silent(self):
-        # A watch under way when the store went silent was never answered.
+    def test_a_watch_is_restarted_after_the_store_was_silent(self):
+        # The store never answers a watch that was open when it became silent.
         self.store.faults.away = 'silent'
         time.sleep(2.5)
         self.store.faults.away = ''
@@ -180,14 +180,14 @@
         platformhelp.wait_until(lambda: self.entry.call('/new/x')[0] == 200,
                                 4.0, self.entry.read_log)
 
-    def test_keys_stay_served_while_the_store_is_away(self):
+    def test_keys_are_served_while_the_store_is_unavailable(self):
         self.store.faults.away = 'busy'
         until = time.monotonic() + 6.0
         while time.monotonic() < until:
             self.assertEqual(self.entry.call('/stock/lot', 30_000)[0], 200)
             time.sleep(0.1)
 
-    def test_a_draining_server_hands_over_and_gets_nothing_more(self):
+    def test_a_draining_server_hands_over_its_keys_and_gets_no_requests(self):
         leaving = self.deployment.catalogs[0]
         leaving.register('draining')
         platformhelp.wait_until(lambda: not leaving.held, 2.0)
@@ -199,40 +199,42 @@
             any('Handover' in fields
                 for fields in self.deployment.catalogs[1].grants))
 
-    def _await_all_served(self, seconds: float) -> None:
+    def _wait_until_all_served(self, seconds: float) -> None:
         platformhelp.wait_until(
             lambda: all(
                 self.entry.call('/stock/lot', key)[0] == 200
                 for key in range(0, 65_536, 6_007)), seconds,
             self.entry.read_log)
 
-    def _check_regranted(self, server, before: int, seconds: float) -> None:
-        """Checks that a server that started again is granted keys anew."""
+    def _check_granted_after_restart(self, server, registration_delay_ms: int,
+                                     seconds: float) -> None:
+        """Checks that a restarted server is granted keys with higher fences."""
         known = len(server.grants)
         server.restart(register=False)
-        time.sleep(before / 1_000.0)
+        time.sleep(registration_delay_ms / 1_000.0)
         server.register()
-        self._await_all_served(seconds)
+        self._wait_until_all_served(seconds)
         highest = max(fields['fence'] for fields in server.grants[:known])
         platformhelp.wait_until(
             lambda: any(fields['fence'] > highest
                         for fields in server.grants[known:]), 3.0,
             self.entry.read_log)
 
-    def test_a_server_that_starts_again_under_its_id_is_granted_anew(self):
-        self._check_regranted(self.deployment.catalogs[0], 0, 3.0)
+    def test_a_server_restarted_under_its_id_is_granted_keys_again(self):
+        self._check_granted_after_restart(self.deployment.catalogs[0], 0, 3.0)
 
-    def test_and_so_is_one_whose_entry_had_run_out(self):
+    def test_a_restarted_server_whose_registration_expired_is_granted_keys(
+            self):
         server = self.deployment.catalogs[0]
         self.deployment.store.delete(f'servers/{server.id}')
-        self._check_regranted(server, 600, 5.0)
+        self._check_granted_after_restart(server, 600, 5.0)
 
-    def test_and_so_is_one_beside_a_grant_under_way(self):
+    def test_a_server_restarted_during_a_grant_is_granted_keys(self):
         server = self.deployment.catalogs[0]
         server.faults.late_grant_s = 0.3
         time.sleep(1.0)
         server.faults.late_grant_s = 0.0
-        self._check_regranted(server, 200, 8.0)
+        self._check_granted_after_restart(server, 200, 8.0)
         until = time.monotonic() + 3.0
         while time.monotonic() < until:
             for key in (0, 20_000, 40_000, 65_535):
@@ -240,7 +242,7 @@
                 self.assertLessEqual(len(owners), 1)
             time.sleep(0.02)
 
-    def test_an_entry_by_another_writer_takes_no_address_from_its_server(self):
+    def test_a_registration_by_another_writer_takes_no_servers_address(self):
         server = self.deployment.catalogs[0]
         self.deployment.store.put(
             'servers/i-other', {
@@ -255,12 +257,12 @@
                 'born': server.born + 5_000
             })
         time.sleep(1.0)
-        self._await_all_served(1.0)
+        self._wait_until_all_served(1.0)
         self.assertTrue(server.held)
         self.assertEqual(
             self.entry.read_log().count('its service is not configured'), 1)
 
-    def test_keys_of_a_lost_server_are_served_after_its_hold(self):
+    def test_keys_of_a_lost_server_are_served_after_its_hold_expires(self):
         lost = self.deployment.catalogs[0]
         lost.close()
         began = time.monotonic()
@@ -270,7 +272,7 @@
                 for key in range(0, 65_536, 6_007)), 8.0, self.entry.read_log)
         self.assertLess(time.monotonic() - began, 7.0)
 
-    def test_a_late_grant_never_makes_two_owners(self):
+    def test_a_late_grant_never_causes_two_owners(self):
         for server in self.deployment.catalogs:
             server.faults.late_grant_s = 2.0
         time.sleep(1.5)
@@ -312,8 +314,9 @@
 
 class LateRequestTest(unittest.TestCase):
 
-    def test_a_request_that_can_not_end_before_the_entry_is_not_sent_on(self):
-        # One that came 3.2 s after SIGTERM was cut when the entry ended.
+    def test_a_request_that_would_outlast_the_entry_is_rejected(self):
+        # A request that arrived 3.2 s after SIGTERM was forwarded, and cut off
+        # when the entry ended.
         deployment = platformhelp.Deployment(catalogs=1, orders=1)
         self.addCleanup(deployment.close)
         entry, (server,) = deployment.entries[0], deployment.orders
@@ -345,7 +348,7 @@
             time.sleep(0.05)
         self.assertIn('coordination_begun', other.read_log())
 
-    def test_connections_that_come_while_an_entry_starts_are_served(self):
+    def test_connections_opened_while_an_entry_starts_are_served(self):
         deployment = platformhelp.Deployment()
         self.addCleanup(deployment.close)
         entry = deployment.add_entry()
@@ -362,7 +365,7 @@
         status, _, _ = entry.call('/stock/lot', 9, patience_ms=4_000)
         self.assertEqual(status, 200, entry.read_log())
 
-    def test_an_entry_on_a_small_machine_makes_way_without_a_gap(self):
+    def test_a_coordinator_on_a_small_machine_is_replaced_without_a_gap(self):
         deployment = platformhelp.Deployment(link_mbps=10.0)
         self.addCleanup(deployment.close)
         small, = deployment.entries
@@ -378,7 +381,7 @@
         self.assertIn('coordination_begun', large.read_log())
         self.assertEqual(small.read_log().count('coordination_begun'), 1)
 
-    def test_an_entry_that_the_store_refuses_learns_from_a_peer(self):
+    def test_an_entry_that_the_store_rejects_reads_from_a_peer(self):
         deployment = platformhelp.Deployment()
         self.addCleanup(deployment.close)
         deployment.store.faults.away = 'busy'
@@ -387,8 +390,9 @@
         self.assertEqual(entry.call('/stock/lot', 30_000)[0], 200)
         self.assertIn('store_heard_from_peer', entry.read_log())
 
-    def test_an_entry_started_while_the_store_is_silent_follows_it_after(self):
-        # It watched from what a peer told, and that watch was never answered.
+    def test_an_entry_started_while_the_store_is_silent_watches_it_later(self):
+        # The entry read the state from a peer and opened a watch from there,
+        # which the silent store never answered.
         deployment = platformhelp.Deployment()
         self.addCleanup(deployment.close)
         deployment.store.faults.away = 'silent'
@@ -402,37 +406,42 @@
 
 
 class NewsTest(unittest.TestCase):
-    """Three entries, and servers that send heartbeats all the time."""
+    """Three entries and servers that send heartbeats all the time.
+
+    Guards against entries that each watch the store instead of getting changes
+    from the hub.
+    """
 
     @classmethod
     def setUpClass(cls):
         cls.deployment = platformhelp.Deployment(entries=3)
         cls.store = cls.deployment.store
         cls.stopping = threading.Event()
-        cls.beats = threading.Thread(target=cls._beat)
-        cls.beats.start()
+        cls.heartbeat_thread = threading.Thread(target=cls._send_heartbeats)
+        cls.heartbeat_thread.start()
         time.sleep(2.0)
 
     @classmethod
     def tearDownClass(cls):
         cls.stopping.set()
-        cls.beats.join()
+        cls.heartbeat_thread.join()
         cls.deployment.close()
 
     @classmethod
-    def _beat(cls):
+    def _send_heartbeats(cls):
         servers = [*cls.deployment.catalogs, *cls.deployment.orders]
         while not cls.stopping.wait(0.1):
             for server in servers:
                 server.register()
 
-    def test_entries_look_seldom_while_the_hub_tells_them_of_changes(self):
+    def test_entries_seldom_watch_the_store_while_the_hub_sends_changes(self):
         before = self.store.paths['/-/kv-watch']
         time.sleep(6.0)
-        # 17 of the hub and 2 of the others; it was 38 when each looked alone.
+        # 17 watches of the hub and 2 of the others; if each entry watched the
+        # store itself, there were 38.
         self.assertLess(self.store.paths['/-/kv-watch'] - before, 26)
 
-    def test_a_change_is_in_force_everywhere_within_a_second_and_a_half(self):
+    def test_a_change_is_in_force_at_all_entries_within_1_5_seconds(self):
         for version in (2, 3, 4):
             self.deployment.add_route(version, f'/new{version}/')
             began = time.monotonic()
@@ -446,7 +455,7 @@
 
 class SettingsTest(unittest.TestCase):
 
-    def test_a_missing_field_ends_with_a_message_that_names_it(self):
+    def test_the_error_for_a_missing_field_names_it(self):
         store = platformhelp.platform_store.PlatformStore()
         self.addCleanup(store.close)
         entry = platformhelp.Entry(store)
--- a/tests/test_platform_grants.py
+++ b/tests/test_platform_grants.py
@@ -1,4 +1,4 @@
-"""Tests of the calls that grant keys, over real connections."""
+"""Tests of calls that grant keys, over real connections."""
 
 import collections
 import concurrent.futures
@@ -18,11 +18,11 @@
 from lentilmoor.edge import tables
 from lentilmoor.platform import servers
 
-_Answer = ownership.CallOutcome
+_Outcome = ownership.CallOutcome
 
 
 class _Backend:
-    """Answers grants after a time, and notes which it took."""
+    """A server that answers grants after a delay and records them."""
 
     def __init__(self, work_s: float, closes: bool = False):
         self.taken: list[tuple[float, int, float]] = []
@@ -75,7 +75,7 @@
 
 
 class _Coordinator:
-    """A coordinator of one server, over real connections."""
+    """A coordinator that grants ranges to one server in real time."""
 
     def __init__(self, address: str, ranges: int):
         self.clock = clocks.make_suspend_clock()
@@ -91,37 +91,37 @@
                                           keyloads.KeyLoads({}), {})
         self.counts: collections.Counter[ownership.CallOutcome] = (
             collections.Counter())
-        self._returned: queue.Queue = queue.Queue()
+        self._results: queue.Queue = queue.Queue()
 
     def run(self, seconds: float) -> None:
-        """Plans, and has threads make the calls."""
-        until = time.monotonic() + seconds
+        """Plans actions for a time and sends the grants from threads."""
+        deadline = time.monotonic() + seconds
         with concurrent.futures.ThreadPoolExecutor(64) as pool:
-            while time.monotonic() < until:
-                self._take_in()
+            while time.monotonic() < deadline:
+                self._handle_results()
                 for action in coordination.plan_actions(self.state, self.view,
                                                         self.clock.now()):
                     if isinstance(action, ownership.Grant):
                         pool.submit(self._send, action)
                 time.sleep(0.005)
 
-    def _take_in(self) -> None:
-        while not self._returned.empty():
-            action, granted, sent = self._returned.get()
+    def _handle_results(self) -> None:
+        while not self._results.empty():
+            action, granted, sent = self._results.get()
             self.counts[granted.outcome] += 1
             coordination.handle_grant_result(self.state, action, granted, sent,
                                              self.clock.now())
 
     def _send(self, action: ownership.Grant) -> None:
         sent = self.clock.now()
-        granted = ownership.GrantResult(_Answer.NOT_SENT)
+        granted = ownership.GrantResult(_Outcome.NOT_SENT)
         if sent - action.planned_at <= ownership.MAX_GRANT_AGE_MS:
             granted = self.calls.grant(action)
-        self._returned.put((action, granted, sent))
+        self._results.put((action, granted, sent))
 
 
 def _divide(ranges: int) -> tuple[keyranges.KeyRange, ...]:
-    """Returns equal ranges, which their fences keep apart."""
+    """Returns ranges of equal width with different fences."""
     width = tables.KEY_COUNT // ranges
     ends = [width * number for number in range(ranges)] + [tables.KEY_COUNT]
     return tuple(
@@ -130,14 +130,14 @@
 
 
 class ManyRangesTest(unittest.TestCase):
-    """A server with 30 ranges answers each grant after a while.
+    """Guards against keys without an owner if a server answers grants slowly.
 
-    Over one connection they waited for each other beyond their time limits, and
-    keys were without an owner for 3 s with 60 ms an answer.
+    Over a single connection, the grants of 30 ranges waited for each other
+    beyond their timeouts: with 60 ms per answer, keys had no owner for 3 s.
     """
 
-    def _play(self, backend, seconds=4.0):
-        """Returns the longest time without an owner, and the coordinator."""
+    def _measure_gap(self, backend, seconds=4.0):
+        """Returns the longest time without an owner, s, and outcome counts."""
         self.addCleanup(backend.close)
         coordinator = _Coordinator(backend.address, 30)
         began = time.monotonic()
@@ -152,18 +152,18 @@
             longest = max(longest, began + seconds - until)
         return longest, coordinator.counts
 
-    def test_all_are_granted_in_time_at_60_ms(self):
-        gap, counts = self._play(_Backend(0.06))
+    def test_all_ranges_are_granted_in_time_with_60_ms_per_answer(self):
+        gap, counts = self._measure_gap(_Backend(0.06))
         self.assertLess(gap, 1.0)
-        self.assertEqual(counts.get(_Answer.UNKNOWN, 0), 0)
+        self.assertEqual(counts.get(_Outcome.UNKNOWN, 0), 0)
 
-    def test_and_at_120_ms(self):
-        gap, counts = self._play(_Backend(0.12))
+    def test_all_ranges_are_granted_in_time_with_120_ms_per_answer(self):
+        gap, counts = self._measure_gap(_Backend(0.12))
         self.assertLess(gap, 1.0)
-        self.assertEqual(counts.get(_Answer.UNKNOWN, 0), 0)
+        self.assertEqual(counts.get(_Outcome.UNKNOWN, 0), 0)
 
-    def test_and_if_each_answer_closes_its_connection(self):
-        gap, _ = self._play(_Backend(0.02, closes=True))
+    def test_all_ranges_are_granted_if_each_answer_closes_its_connection(self):
+        gap, _ = self._measure_gap(_Backend(0.02, closes=True))
         self.assertLess(gap, 0.5)
 
 
--- a/tests/test_platform_restore.py
+++ b/tests/test_platform_restore.py
@@ -1,4 +1,4 @@
-"""Tests of entry processes whose store comes back from an older copy."""
+"""Tests of entry processes whose store is restored from an older copy."""
 
 import json
 import time
@@ -7,14 +7,14 @@
 from standins import platform_server
 from tests import platformhelp
 
-# Writes between the copy and the return, all of which are lost.
+# Writes between the copy and the restore, all of which are lost.
 _LOST_WRITES = 60
-# Time from a change's acknowledgement until it must be in force.
+# Time from the acknowledgement of a change until it must be in force.
 _APPLY_S = 2.0
-# Time after which a draining server must get no more requests.
+# Time after which a draining server must receive no more requests.
 _DRAIN_S = 2.0
 _PROBED_KEYS = range(0, 65_536, 1_021)
-# Time in which a takeover, moves of keys and a recovery must be done.
+# Timeout of a takeover, of moves of keys and of a recovery.
 _SETTLE_S = 15.0
 
 
@@ -27,7 +27,7 @@
         self.store = self.deployment.store
 
     def _lose_writes(self) -> None:
-        """Makes writes, lets the entries learn of them, and loses them."""
+        """Writes, waits until the entries have read it, and restores a copy."""
         copy = self.store.copy()
         for _ in range(_LOST_WRITES):
             self.deployment.orders[0].register()
@@ -38,7 +38,11 @@
 
 
 class ConfigurationAfterRestoreTest(_RestoreTest):
-    """The operator changes the configuration after the return."""
+    """Guards the order of configuration versions across a restore.
+
+    Revisions start again from the copy's, so a new version may have a revision
+    number that the entries have already seen.
+    """
 
     def test_new_route_is_served_in_time(self):
         self._lose_writes()
@@ -66,7 +70,10 @@
 
 
 class DrainingAfterRestoreTest(_RestoreTest):
-    """A server reports draining in the store after the return."""
+    """Guards against requests to servers that were draining or had left.
+
+    The restored store may have lost that a server drains or was deleted.
+    """
 
     def _count_late_arrivals(self,
                              server: platform_server.PlatformServer) -> int:
@@ -80,7 +87,7 @@
 
     def _count_arrivals(self, server: platform_server.PlatformServer,
                         seconds: float) -> int:
-        """Sends requests for a time; returns how many reach a server."""
+        """Sends requests for a time; returns how many the server received."""
         server.arrival_times.clear()
         until = time.monotonic() + seconds
         while time.monotonic() < until:
@@ -88,7 +95,7 @@
                 entry.call('/report/x')
         return len(server.arrival_times)
 
-    def test_draining_that_the_store_has_lost_is_kept(self):
+    def test_draining_that_the_store_lost_stays_in_force(self):
         server = self.deployment.orders[1]
         copy = self.store.copy()
         server.register('draining')
@@ -96,7 +103,7 @@
         self.store.restore(copy, writes_again=False)
         self.assertEqual(self._count_arrivals(server, 3.0), 0)
 
-    def test_server_that_has_left_gets_no_requests(self):
+    def test_deleted_server_gets_no_requests(self):
         server = self.deployment.orders[1]
         copy = self.store.copy()
         self.store.delete(f'servers/{server.id}')
@@ -120,13 +127,16 @@
 
 
 class OwnershipAfterRestoreTest(_RestoreTest):
-    """Keys move, or the coordinator changes, in the part that is lost."""
+    """Guards against two owners of a key after a restore.
+
+    The lost writes include moves of keys or a change of the coordinator.
+    """
 
     def _read_logs(self) -> str:
         return '\n'.join(entry.read_log() for entry in self.deployment.entries)
 
     def _find_coordinator(self) -> platformhelp.Entry | None:
-        """Returns the entry that stands in the store, if it is up."""
+        """Returns the coordinator named in the store, if it is running."""
         data = self.store.read('lentilmoor/coordinator/catalog')
         if data is None:
             return None
@@ -135,12 +145,12 @@
             (item for item in self.deployment.entries
              if item.control == address and item.process.poll() is None), None)
 
-    def _end(self, entry: platformhelp.Entry) -> None:
+    def _kill(self, entry: platformhelp.Entry) -> None:
         entry.process.kill()
         entry.process.wait()
 
-    def _await_owners(self) -> None:
-        """Waits until all keys are held, by servers that stay."""
+    def _wait_until_owned(self) -> None:
+        """Waits until some server holds each of the probed keys."""
         platformhelp.wait_until(
             lambda: all(
                 any(server.holds(key)
@@ -148,15 +158,15 @@
                 for key in _PROBED_KEYS), _SETTLE_S, self._read_logs)
 
     def _move_keys(self) -> None:
-        """Has a server leave, so that its keys move."""
+        """Drains a server and waits until its keys have moved."""
         server = self.deployment.catalogs[0]
         server.register('draining')
         platformhelp.wait_until(
             lambda: not any(server.holds(key) for key in _PROBED_KEYS),
             _SETTLE_S, self._read_logs)
-        self._await_owners()
+        self._wait_until_owned()
 
-    def _watch_owners(self, seconds: float) -> None:
+    def _check_no_shared_keys(self, seconds: float) -> None:
         until = time.monotonic() + seconds
         while time.monotonic() < until:
             shared = platformhelp.find_shared(self.deployment.catalogs,
@@ -165,14 +175,14 @@
             time.sleep(0.01)
 
     def _change_coordinator(self) -> None:
-        self._end(self._find_coordinator())
+        self._kill(self._find_coordinator())
         platformhelp.wait_until(lambda: self._find_coordinator() is not None,
                                 _SETTLE_S, self._read_logs)
 
     def _check_owners(self) -> None:
-        """Checks that keys have one owner each, now and in the end."""
-        self._watch_owners(4.0)
-        self._await_owners()
+        """Checks that no key gets two owners and that all keys get one."""
+        self._check_no_shared_keys(4.0)
+        self._wait_until_owned()
         self.assertEqual(platformhelp.find_low_fences(self.deployment.catalogs),
                          [])
 
@@ -195,11 +205,11 @@
         self._move_keys()
         self.store.restore(copy)
         for entry in self.deployment.entries:
-            self._end(entry)
+            self._kill(entry)
         self.deployment.add_entry().await_ready()
         self._check_owners()
 
-    def test_living_coordinator_stands_in_the_store_again(self):
+    def test_running_coordinator_is_written_to_the_store_again(self):
         copy = self.store.copy()
         self._change_coordinator()
         self.store.restore(copy)
@@ -208,7 +218,10 @@
 
 
 class RegistrationAfterRestoreTest(_RestoreTest):
-    """An entry registers in the part that is lost."""
+    """Guards against an entry that stays unregistered after a restore.
+
+    Its registration is among the lost writes.
+    """
 
     def test_entry_is_registered_again(self):
         copy = self.store.copy()
