--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -127,10 +127,10 @@
 
     def replace(self, items: Iterable[Item],
                 revision: int) -> ports.StoreSnapshot:
-        """Replaces the copy by the result of a full read.
+        """Replaces the copy by all that a full read or a full dump holds.
 
         Args:
-          items: All items of the store.
+          items: All items.
           revision: The store's revision before the first item was read.
 
         Returns:
@@ -144,8 +144,8 @@
                 self._news.clear()
                 self._news_base_revision = revision
             found_keys = {item.key for item in items}
-            # Assignments are never deleted, and news leave out new ones: one
-            # that is missing here may just be newer than the read.
+            # Assignments are never deleted, and news leave them out: another
+            # entry's dump may lack one that this copy has.
             deletions = [
                 Item(key, None, revision)
                 for key, item in self._items.items()
@@ -419,29 +419,29 @@
         if item.value is None:
             return known is not None and servers.pop(known.id, None) is not None
         now = self._clock.now()
-        found = documents.parse_server(name, item.value, now)
-        if isinstance(found, str):
-            self._log_refused_server(name, item, found)
+        server = documents.parse_server(name, item.value, now)
+        if isinstance(server, str):
+            self._log_refused_server(name, item, server)
             return known is not None and servers.pop(known.id, None) is not None
-        if known is not None and known.id == found.id:
+        if known is not None and known.id == server.id:
             # A restored store may hold a registration from before the server
             # began to drain.
-            found = dataclasses.replace(
-                found,
+            server = dataclasses.replace(
+                server,
                 seen_at=known.seen_at,
-                draining=known.draining or found.draining,
+                draining=known.draining or server.draining,
                 draining_at=(known.draining_at
-                             if known.draining else found.draining_at))
-            if _is_heartbeat(known, found, now):
-                found = known
-        elif known is not None and tables.has_replaced(known, found):
+                             if known.draining else server.draining_at))
+            if _is_heartbeat(known, server, now):
+                server = known
+        elif known is not None and tables.has_replaced(known, server):
             self._log_refused_server(name, item,
                                      'registered by an earlier process')
             return False
         elif known is not None:
             servers.pop(known.id, None)
-        changed = servers.get(found.id) is not found
-        self._servers_by_name[name] = servers[found.id] = found
+        changed = servers.get(server.id) is not server
+        self._servers_by_name[name] = servers[server.id] = server
         return changed
 
     def _make_suspect_reader(
@@ -475,10 +475,10 @@
 def _is_heartbeat(known: tables.Server, found: tables.Server,
                   now: float) -> bool:
     """Returns whether only the remaining warm-up time has changed."""
-    same = dataclasses.replace(found,
-                               warmup_ends_at=known.warmup_ends_at) == known
-    return same and found.warmup_ends_at < max(known.warmup_ends_at,
-                                               now) + WARMUP_TOLERANCE_MS
+    is_same_otherwise = dataclasses.replace(
+        found, warmup_ends_at=known.warmup_ends_at) == known
+    return is_same_otherwise and found.warmup_ends_at < max(
+        known.warmup_ends_at, now) + WARMUP_TOLERANCE_MS
 
 
 def _find_last_changes(items: Iterable[Item], after: int) -> list[Item]:
@@ -487,13 +487,13 @@
     Earlier changes of a key are left out: they would fill the links of all
     entries that get the news.
     """
-    last: dict[str, Item] = {}
+    last_changes: dict[str, Item] = {}
     for item in items:
-        known = last.get(item.key)
-        if item.revision > after and (known is None or
-                                      known.revision < item.revision):
-            last[item.key] = item
-    return sorted(last.values(), key=lambda item: item.revision)
+        previous = last_changes.get(item.key)
+        if item.revision > after and (previous is None or
+                                      previous.revision < item.revision):
+            last_changes[item.key] = item
+    return sorted(last_changes.values(), key=lambda item: item.revision)
 
 
 def _encode_news(items: Iterable[Item],
