--- a/lentilmoor/platform/program.py
+++ b/lentilmoor/platform/program.py
@@ -12,10 +12,10 @@
 from lentilmoor import signals
 from lentilmoor.edge import entry
 from lentilmoor.edge import ports
-from lentilmoor.platform import dialect
-from lentilmoor.platform import fields
+from lentilmoor.platform import headerformat
 from lentilmoor.platform import servers
 from lentilmoor.platform import settings as settings_module
+from lentilmoor.platform import settingsfile
 from lentilmoor.platform import store
 
 _EXIT_REFUSED = 2
@@ -25,16 +25,19 @@
     """Runs an entry with the settings that the platform wrote.
 
     Args:
-      callers: The socket on which callers' connections already arrive.
+      callers: The listening socket for callers, if it is already open.
 
     Returns:
-      An exit code, if it could not start.
+      An exit code if the settings were rejected. Otherwise the process exits
+      when the entry has stopped, and the call doesn't return.
     """
     try:
-        settings, address = settings_module.parse_settings(fields.read_text())
+        settings, address = settings_module.parse_settings(
+            settingsfile.read_text())
     except (OSError, exceptions.SettingsError) as error:
-        print(f'{fields.BOOT_VARIABLE}={fields.find_path()}: {error}',
-              file=sys.stderr)
+        print(
+            f'{settingsfile.BOOT_VARIABLE}={settingsfile.find_path()}: {error}',
+            file=sys.stderr)
         return _EXIT_REFUSED
     clock = clocks.make_suspend_clock()
     started_at = clock.now()
@@ -45,9 +48,10 @@
     times = store.make_watch_times(settings.limits, settings.link_mbps)
     platform = ports.Platform(
         settings, store.connect_store(address, clock, logger, times),
-        servers.connect_servers(clock), dialect.make_dialect())
-    entry.run(platform, instance, clock, logger, store.KEEPALIVE, callers,
-              started_at)
+        servers.connect_servers(clock), headerformat.make_header_format())
+    entry.run(platform, instance, clock, logger, store.KEEPALIVE_OPTIONS,
+              callers, started_at)
     lines.close()
-    # Threads that wait for outside calls must not hold the process.
+    # Threads that still wait for calls to other processes must not delay the
+    # exit.
     os._exit(0)  # pylint: disable=protected-access
--- a/lentilmoor/platform/views.py
+++ b/lentilmoor/platform/views.py
@@ -1,9 +1,10 @@
-"""What an entry knows of the store, in whatever order it learns of it.
+"""An entry's local copy of the store, merged from several sources.
 
-Whole reads, watches and other entries' news may overlap. Each item carries the
-revision of its last change, so that what is older never replaces what is newer.
-After a restore of the store everything is read anew: what was known before is
-replaced as a whole, and isn't told to others any more.
+Full reads, watches and the news of other entries may overlap and arrive in any
+order. Each item carries the revision of its last change, so that an older item
+never replaces a newer one. After a restore of the store everything is read
+again: the copy is replaced as a whole, and changes from before the restore are
+no longer sent to other entries.
 """
 
 import base64
@@ -30,31 +31,33 @@
 ENTRIES = 'lentilmoor/entry/'
 SUSPECTS = 'lentilmoor/suspect/'
 
-# Changes that are kept for others: some minutes of a busy day's.
-MOST_NEWS = 500
-# Deleted keys whose revision is kept, so that no older change brings them back.
-MOST_DELETED = 1_000
-# Low, as many ask one large machine at once, and it is the link of who asks
-# that is slow.
+# Changes that are kept as news for other entries: some minutes' worth at a busy
+# time.
+MAX_NEWS = 500
+# Deleted keys whose revision is kept, so that an older change that arrives late
+# can't restore them.
+MAX_DELETED_KEYS = 1_000
+# Low: one large machine compresses for many entries at once, and the slow part
+# is the link of the entry that asks.
 COMPRESSION_LEVEL = 1
-# Values of more bytes are compressed before they are written as text.
-PACKED_BYTES = 1_000
-# News that were told last are kept, as most ask for the same.
-MOST_TOLD = 8
-# What a server says of its warming up varies by the way of its heartbeats.
-WARM_SLACK_MS = 1_000.0
+# Values of at least this size are compressed before they are sent as base64.
+COMPRESSION_THRESHOLD_BYTES = 1_000
+# Most entries ask for the same news, so the latest encodings are cached.
+MAX_CACHED_NEWS = 8
+# The end of a warm-up that heartbeats report varies with their latency.
+WARMUP_TOLERANCE_MS = 1_000.0
 
-_EMPTY = ports.StoreSnapshot(None, {}, {}, {}, {}, 0)
+_EMPTY_SNAPSHOT = ports.StoreSnapshot(None, {}, {}, {}, {}, 0)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Item:
-    """A key of the store.
+    """A key of the store with its value, or its deletion.
 
     Attributes:
       key: The key.
-      value: Its value; None if it was deleted.
-      revision: The store's revision of its last change.
+      value: The value; None if the key was deleted.
+      revision: The store's revision of the key's last change.
     """
 
     key: str
@@ -63,12 +66,12 @@
 
 
 def read_item(row: Mapping, era: int = 0) -> Item:
-    """Reads an item or an event.
+    """Decodes an item or a watch event.
 
     Args:
-      row: The item, as the store or another entry wrote it.
-      era: The store's era. Other entries write whole revisions, which need
-        none.
+      row: The item, as the store or another entry encoded it.
+      era: The store's era. Other entries send revisions that include the era;
+        for their items it is 0.
     """
     value = None
     if 'Packed' in row:
@@ -79,7 +82,7 @@
 
 
 def write_item(item: Item) -> dict[str, object]:
-    """Returns an item in the store's own form, with its whole revision."""
+    """Encodes an item in the store's format; its revision includes the era."""
     row: dict[str, object] = {'Key': item.key, 'Rev': item.revision}
     if item.value is None:
         return row | {'Tombstone': True}
@@ -87,8 +90,8 @@
 
 
 def _pack_item(item: Item) -> dict[str, object]:
-    """Returns an item as it is told to other entries."""
-    if item.value is None or len(item.value) < PACKED_BYTES:
+    """Encodes an item for other entries and compresses a large value."""
+    if item.value is None or len(item.value) < COMPRESSION_THRESHOLD_BYTES:
         return write_item(item)
     packed = zlib.compress(item.value, COMPRESSION_LEVEL)
     return {
@@ -99,67 +102,72 @@
 
 
 class View:
-    """What is known of the store; for many threads."""
+    """A thread-safe copy of the store's items, with the latest snapshot."""
 
     def __init__(self, clock: clocks.Clock, logger: logs.Logger):
         self._clock = clock
         self._logger = logger
-        self._everything = _EMPTY
-        # The last entry of each server, by its key's name.
-        self._servers: dict[str, tables.Server] = {}
+        self._snapshot = _EMPTY_SNAPSHOT
+        # The latest registration of each server, by the name in its key. It
+        # outlives the deletion of the key.
+        self._servers_by_name: dict[str, tables.Server] = {}
         self._items: dict[str, Item] = {}
-        self._deleted: collections.OrderedDict[str,
-                                               int] = collections.OrderedDict()
-        # News, and the revision since when they are complete.
+        self._deleted_revisions: collections.OrderedDict[
+            str, int] = collections.OrderedDict()
+        # The news, and the revision since which they are complete.
         self._news: collections.deque[Item] = collections.deque()
-        self._news_since = 0
-        self._told: dict[tuple[int, float, bool], bytes] = {}
+        self._news_base_revision = 0
+        self._encoded_news: dict[tuple[int, float, bool], bytes] = {}
         self._lock = threading.RLock()
 
     def find_revision(self) -> int:
-        """Returns the revision up to which all changes are known."""
+        """Returns the revision up to which the copy has all changes."""
         with self._lock:
-            return self._everything.revision
+            return self._snapshot.revision
 
     def replace(self, items: Iterable[Item],
                 revision: int) -> ports.StoreSnapshot:
-        """Takes in all that the store holds.
+        """Replaces the copy by all that a full read or a full dump holds.
 
         Args:
-          items: The items.
-          revision: The store's revision before the first was read.
+          items: All items.
+          revision: The store's revision before the first item was read.
+
+        Returns:
+          The new snapshot. Items that changed after that revision stay.
         """
         items = list(items)
         with self._lock:
-            restored = (revisions.find_era(revision)
-                        > revisions.find_era(self._everything.revision))
-            if restored or not self._items:
+            was_restored = (revisions.find_era(revision)
+                            > revisions.find_era(self._snapshot.revision))
+            if was_restored or not self._items:
                 self._news.clear()
-                self._news_since = revision
-            found = {item.key for item in items}
-            # Nobody deletes an assignment; news don't tell of a new one.
-            gone = [
+                self._news_base_revision = revision
+            found_keys = {item.key for item in items}
+            # Assignments are never deleted, and news leave them out: another
+            # entry's dump may lack one that this copy has.
+            deletions = [
                 Item(key, None, revision)
                 for key, item in self._items.items()
-                if key not in found and item.revision <= revision and
-                (restored or not key.startswith(ASSIGNMENTS))
+                if key not in found_keys and item.revision <= revision and
+                (was_restored or not key.startswith(ASSIGNMENTS))
             ]
-            items = sorted(gone + items, key=lambda item: item.revision)
+            items = sorted(deletions + items, key=lambda item: item.revision)
             return self.apply(items, revision)
 
     def apply(self, items: Iterable[Item],
               revision: int) -> ports.StoreSnapshot:
-        """Takes in changes; returns what is known then.
+        """Applies changes and returns the new snapshot.
 
         Args:
-          items: New, changed and deleted items, in order. Those of an earlier
-            era are left out.
-          revision: The store's revision up to which there are no others.
+          items: New, changed and deleted items, in order. Items of an earlier
+            era are ignored.
+          revision: The store's revision up to which these are all changes.
         """
         with self._lock:
-            before = self._everything
+            before = self._snapshot
             era = revisions.find_era(before.revision)
-            changed = dataclasses.replace(
+            updated = dataclasses.replace(
                 before,
                 servers=dict(before.servers),
                 coordinators=dict(before.coordinators),
@@ -172,87 +180,95 @@
                         self._is_known(item)):
                     continue
                 if item.key == CONFIGURATION:
-                    changed = self._take_configuration(changed, item)
+                    updated = self._apply_configuration(updated, item)
                     continue
-                self._keep(item)
-                changed = self._take(changed, item)
-            self._everything = changed
-            return changed
+                self._store_item(item)
+                updated = self._apply_item(updated, item)
+            self._snapshot = updated
+            return updated
 
-    def tell_news(self,
-                  after: int,
-                  room: float,
-                  version: int | None = None) -> bytes | None:
-        """Returns what has changed since a revision.
+    def encode_changes(self,
+                       after: int,
+                       max_configuration_bytes: float,
+                       known_version: int | None = None) -> bytes | None:
+        """Encodes the changes since a revision as news for another entry.
 
         Args:
           after: The revision.
-          room: A configuration of more bytes, when compressed, is left out.
-          version: Of the configuration that is known there; a newer one is told
-            whenever it has changed. None if that isn't known.
+          max_configuration_bytes: A configuration that is larger than this,
+            when compressed, is left out.
+          known_version: The version of the configuration that the other entry
+            has. A newer configuration is included whenever it changed. None if
+            the version isn't known.
 
         Returns:
-          None if it isn't known.
+          The news, compressed; None if the revision is too old.
         """
         with self._lock:
-            if after < self._news_since:
+            if after < self._news_base_revision:
                 return None
-            lacks = self._is_newer_than(version)
-            told = self._told.get((after, room, lacks))
-            if told is None:
-                items = _find_last(self._news, after)
-                if lacks and all(item.key != CONFIGURATION for item in items):
+            needs_configuration = self._is_configuration_newer(known_version)
+            news = self._encoded_news.get(
+                (after, max_configuration_bytes, needs_configuration))
+            if news is None:
+                items = _find_last_changes(self._news, after)
+                if needs_configuration and all(
+                        item.key != CONFIGURATION for item in items):
                     items.append(self._items[CONFIGURATION])
-                told = _write_news(items, room)
-                if len(self._told) >= MOST_TOLD:
-                    del self._told[next(iter(self._told))]
-                self._told[after, room, lacks] = told
-            return told
-
-    def _is_newer_than(self, version: int | None) -> bool:
-        """Returns whether the configuration is newer than a version."""
-        known = self._everything.configuration
-        return (version is not None and known is not None and
-                known.version > version and CONFIGURATION in self._items)
+                news = _encode_news(items, max_configuration_bytes)
+                if len(self._encoded_news) >= MAX_CACHED_NEWS:
+                    del self._encoded_news[next(iter(self._encoded_news))]
+                self._encoded_news[after, max_configuration_bytes,
+                                   needs_configuration] = news
+            return news
+
+    def _is_configuration_newer(self, version: int | None) -> bool:
+        """Returns whether the copy has a configuration newer than a version."""
+        current = self._snapshot.configuration
+        return (version is not None and current is not None and
+                current.version > version and CONFIGURATION in self._items)
 
     def merge_news(self, data: bytes,
                    revision: int) -> ports.StoreSnapshot | None:
-        """Takes in what another entry told; None if it doesn't parse."""
+        """Applies another entry's news; returns None if it doesn't parse."""
         try:
-            items = _read_news(data)
+            items = _decode_news(data)
         except (zlib.error, ValueError, KeyError, TypeError) as error:
             self._logger.warning('news_refused', reason=str(error))
             return None
         return self.apply(items, revision)
 
     def dump(self, after: int) -> bytes:
-        """Returns what is known, in the store's own form.
+        """Encodes the copy, in the store's format, for another entry.
 
         Args:
-          after: A revision. What has changed since is returned, or all if that
-            is too long ago to tell.
+          after: A revision. Only the changes since are returned, or everything
+            if the revision is too old.
         """
         with self._lock:
-            fields: dict[str, object] = {
-                'CurrentRev': self._everything.revision
-            }
+            fields: dict[str, object] = {'CurrentRev': self._snapshot.revision}
             items: list[Item] = list(self._items.values())
-            if after >= self._news_since:
+            if after >= self._news_base_revision:
                 fields['Since'] = after
                 items = self._list_changes(after)
         fields['items'] = [write_item(item) for item in items]
         return zlib.compress(json.dumps(fields).encode(), COMPRESSION_LEVEL)
 
     def _list_changes(self, after: int) -> list[Item]:
-        """Returns what has changed since a revision, heartbeats left out."""
-        saved = [
+        """Returns the changes since a revision, without heartbeats."""
+        assignments = [
             item for key, item in self._items.items()
             if key.startswith(ASSIGNMENTS)
         ]
-        return _find_last((*self._news, *saved), after)
+        return _find_last_changes((*self._news, *assignments), after)
 
     def restore(self, data: bytes) -> ports.StoreSnapshot | None:
-        """Returns what another entry knew; None if it knows nothing newer."""
+        """Applies another entry's dump.
+
+        Returns:
+          The new snapshot; None if the dump doesn't parse, holds nothing newer,
+          or begins later than this copy ends.
+        """
         try:
             fields = json.loads(zlib.decompress(data))
             items = [read_item(row) for row in fields['items']]
@@ -261,12 +277,13 @@
             self._logger.warning('dump_refused', reason=str(error))
             return None
         with self._lock:
-            known = self._everything.revision
+            known_revision = self._snapshot.revision
             if since is not None:
-                news = since <= known < revision
-                return self.apply(items, revision) if news else None
-            # What was too large for news may be missing up to any revision.
-            if revision <= known and all(map(self._is_known, items)):
+                is_newer = since <= known_revision < revision
+                return self.apply(items, revision) if is_newer else None
+            # Items too large for news may be missing here below any revision,
+            # so a full dump is also applied if its revision isn't newer.
+            if revision <= known_revision and all(map(self._is_known, items)):
                 return None
             return self.replace(items, revision)
 
@@ -275,79 +292,88 @@
         if item.key == CONFIGURATION:
             return known is not None and (known.revision == item.revision and
                                           known.value == item.value)
-        revision = known.revision if known else self._deleted.get(item.key, 0)
+        revision = known.revision if known else self._deleted_revisions.get(
+            item.key, 0)
         return item.revision <= revision
 
-    def _keep(self, item: Item) -> None:
+    def _store_item(self, item: Item) -> None:
         if item.value is not None:
-            self._deleted.pop(item.key, None)
+            self._deleted_revisions.pop(item.key, None)
             self._items[item.key] = item
             return
         self._items.pop(item.key, None)
-        self._deleted[item.key] = item.revision
-        if len(self._deleted) > MOST_DELETED:
-            self._deleted.popitem(last=False)
+        self._deleted_revisions[item.key] = item.revision
+        if len(self._deleted_revisions) > MAX_DELETED_KEYS:
+            self._deleted_revisions.popitem(last=False)
 
-    def _take(self, everything: ports.StoreSnapshot,
-              item: Item) -> ports.StoreSnapshot:
-        """Takes one item in; the dictionaries are this call's own."""
+    def _apply_item(self, snapshot: ports.StoreSnapshot,
+                    item: Item) -> ports.StoreSnapshot:
+        """Applies one item to a snapshot whose dictionaries may be changed."""
         if item.key.startswith(SERVERS):
-            if not self._put_server(everything.servers, item):
-                return everything
+            if not self._apply_server(snapshot.servers, item):
+                return snapshot
         elif item.key.startswith(COORDINATORS):
-            self._put(everything.coordinators, item, COORDINATORS,
-                      make_entry_reader(item))
+            self._apply_entry(snapshot.coordinators, item, COORDINATORS,
+                              make_peer_reader(item))
         elif item.key.startswith(ASSIGNMENTS):
-            self._put(everything.assignments, item, ASSIGNMENTS,
-                      make_reader(item))
-            return everything
+            self._apply_entry(snapshot.assignments, item, ASSIGNMENTS,
+                              make_assignment_reader(item))
+            return snapshot
         elif item.key.startswith(ENTRIES):
-            self._put(everything.entries, item, ENTRIES,
-                      make_entry_reader(item))
+            self._apply_entry(snapshot.entries, item, ENTRIES,
+                              make_peer_reader(item))
         elif item.key.startswith(SUSPECTS):
-            self._put(everything.suspects, item, SUSPECTS,
-                      self._make_suspect_reader(item))
-        self._note_news(item)
-        return dataclasses.replace(everything,
+            self._apply_entry(snapshot.suspects, item, SUSPECTS,
+                              self._make_suspect_reader(item))
+        self._add_news(item)
+        return dataclasses.replace(snapshot,
                                    required_revision=max(
-                                       everything.required_revision,
+                                       snapshot.required_revision,
                                        item.revision))
 
-    def _note_news(self, item: Item) -> None:
-        self._told.clear()
+    def _add_news(self, item: Item) -> None:
+        self._encoded_news.clear()
         self._news.append(item)
-        while len(self._news) > MOST_NEWS:
+        while len(self._news) > MAX_NEWS:
             dropped = self._news.popleft()
-            self._news_since = max(self._news_since, dropped.revision)
+            self._news_base_revision = max(self._news_base_revision,
+                                           dropped.revision)
 
-    def _take_configuration(self, everything: ports.StoreSnapshot,
-                            item: Item) -> ports.StoreSnapshot:
-        """Takes in the configuration if its version is newer.
+    def _apply_configuration(self, snapshot: ports.StoreSnapshot,
+                             item: Item) -> ports.StoreSnapshot:
+        """Applies the configuration if its version is newer.
 
-        Its revision doesn't tell, as a restored store may hold an older one.
-        What is in force counts as the store's then, for those who ask.
+        Its revision doesn't decide, as a restored store may hold an older
+        configuration at a newer revision. The configuration in force then
+        passes for the store's: it is sent to other entries at that revision.
         """
-        known, before = self._items.get(CONFIGURATION), everything.configuration
-        found = before
+        known, before = self._items.get(CONFIGURATION), snapshot.configuration
+        newest = before
         if item.value is not None and (known is None or
                                        item.value != known.value):
-            found = self._read_configuration(item, before)
-        if found is before:
+            newest = self._read_configuration(item, before)
+        if newest is before:
             if known is not None and known.revision < item.revision:
-                self._keep(dataclasses.replace(known, revision=item.revision))
-            return everything
-        self._keep(item)
-        self._note_news(item)
-        return dataclasses.replace(everything,
-                                   configuration=found,
+                self._store_item(
+                    dataclasses.replace(known, revision=item.revision))
+            return snapshot
+        self._store_item(item)
+        self._add_news(item)
+        return dataclasses.replace(snapshot,
+                                   configuration=newest,
                                    required_revision=max(
-                                       everything.required_revision,
+                                       snapshot.required_revision,
                                        item.revision))
 
     def _read_configuration(
             self, item: Item,
             before: tables.Configuration | None) -> tables.Configuration | None:
-        """Returns an item's configuration, or the one before if it is newer."""
+        """Parses a configuration.
+
+        Returns:
+          The item's configuration; the one in force if the item doesn't parse
+          or has a lower version.
+        """
         found = documents.parse_configuration(item.value)
         if isinstance(found, str):
             self._logger.error('configuration_refused',
@@ -362,18 +388,18 @@
             return before
         return found
 
-    def _put(self, rows: dict, item: Item, prefix: str,
-             read: Callable[[bytes], object]) -> None:
-        """Takes in an entry of our own, unless it does not parse.
+    def _apply_entry(self, entries: dict, item: Item, prefix: str,
+                     read: Callable[[bytes], object]) -> None:
+        """Applies an item that entries wrote, by its key without the prefix.
 
-        The last good one stays in force.
+        If it doesn't parse, it is logged and the last valid one stays.
         """
         name = item.key.removeprefix(prefix)
         if item.value is None:
-            rows.pop(name, None)
+            entries.pop(name, None)
             return
         try:
-            rows[name] = read(item.value)
+            entries[name] = read(item.value)
         except ValueError as error:
             self._logger.error('entry_refused',
                                key=item.key,
@@ -381,35 +407,41 @@
                                    item.revision),
                                reason=str(error))
 
-    def _put_server(self, servers: dict[str, tables.Server],
-                    item: Item) -> bool:
-        """Takes in a server's entry; returns if it is more than a heartbeat."""
+    def _apply_server(self, servers: dict[str, tables.Server],
+                      item: Item) -> bool:
+        """Applies a server's registration.
+
+        Returns:
+          Whether anything changed that a heartbeat alone doesn't change.
+        """
         name = item.key.removeprefix(SERVERS)
-        known = self._servers.get(name)
+        known = self._servers_by_name.get(name)
         if item.value is None:
             return known is not None and servers.pop(known.id, None) is not None
         now = self._clock.now()
-        found = documents.parse_server(name, item.value, now)
-        if isinstance(found, str):
-            self._refuse_server(name, item, found)
+        server = documents.parse_server(name, item.value, now)
+        if isinstance(server, str):
+            self._log_refused_server(name, item, server)
             return known is not None and servers.pop(known.id, None) is not None
-        if known is not None and known.id == found.id:
-            # A restored store may have lost that it is draining.
-            found = dataclasses.replace(
-                found,
+        if known is not None and known.id == server.id:
+            # A restored store may hold a registration from before the server
+            # began to drain.
+            server = dataclasses.replace(
+                server,
                 seen_at=known.seen_at,
-                draining=known.draining or found.draining,
+                draining=known.draining or server.draining,
                 draining_at=(known.draining_at
-                             if known.draining else found.draining_at))
-            if _is_heartbeat(known, found, now):
-                found = known
-        elif known is not None and tables.has_replaced(known, found):
-            self._refuse_server(name, item, 'of an earlier start')
+                             if known.draining else server.draining_at))
+            if _is_heartbeat(known, server, now):
+                server = known
+        elif known is not None and tables.has_replaced(known, server):
+            self._log_refused_server(name, item,
+                                     'registered by an earlier process')
             return False
         elif known is not None:
             servers.pop(known.id, None)
-        changed = servers.get(found.id) is not found
-        self._servers[name] = servers[found.id] = found
+        changed = servers.get(server.id) is not server
+        self._servers_by_name[name] = servers[server.id] = server
         return changed
 
     def _make_suspect_reader(
@@ -423,17 +455,17 @@
         return read
 
     def read_peers(self, items: Iterable[Item]) -> list[ports.Peer]:
-        """Returns the entries that registered; what doesn't parse names none.
+        """Parses the registrations of entries; skips those that don't parse.
 
         Args:
-          items: Their items; they aren't taken in.
+          items: The items; the copy doesn't change.
         """
         peers: dict[str, ports.Peer] = {}
         for item in items:
-            self._put(peers, item, ENTRIES, documents.read_peer)
+            self._apply_entry(peers, item, ENTRIES, documents.read_peer)
         return list(peers.values())
 
-    def _refuse_server(self, name: str, item: Item, reason: str) -> None:
+    def _log_refused_server(self, name: str, item: Item, reason: str) -> None:
         self._logger.error('server_entry_refused',
                            server=name,
                            revision=revisions.format_revision(item.revision),
@@ -442,46 +474,49 @@
 
 def _is_heartbeat(known: tables.Server, found: tables.Server,
                   now: float) -> bool:
-    """Returns whether nothing has changed but what a heartbeat counts down."""
-    same = dataclasses.replace(found,
-                               warmup_ends_at=known.warmup_ends_at) == known
-    return same and found.warmup_ends_at < max(known.warmup_ends_at,
-                                               now) + WARM_SLACK_MS
+    """Returns whether only the remaining warm-up time has changed."""
+    is_same_otherwise = dataclasses.replace(
+        found, warmup_ends_at=known.warmup_ends_at) == known
+    return is_same_otherwise and found.warmup_ends_at < max(
+        known.warmup_ends_at, now) + WARMUP_TOLERANCE_MS
 
 
-def _find_last(items: Iterable[Item], after: int) -> list[Item]:
+def _find_last_changes(items: Iterable[Item], after: int) -> list[Item]:
     """Returns the last change of each key since a revision, in order.
 
-    Those before it would fill the links of all who are told.
+    Earlier changes of a key are left out: they would fill the links of all
+    entries that get the news.
     """
-    last: dict[str, Item] = {}
+    last_changes: dict[str, Item] = {}
     for item in items:
-        known = last.get(item.key)
-        if item.revision > after and (known is None or
-                                      known.revision < item.revision):
-            last[item.key] = item
-    return sorted(last.values(), key=lambda item: item.revision)
+        previous = last_changes.get(item.key)
+        if item.revision > after and (previous is None or
+                                      previous.revision < item.revision):
+            last_changes[item.key] = item
+    return sorted(last_changes.values(), key=lambda item: item.revision)
 
 
-def _write_news(items: Iterable[Item], room: float) -> bytes:
+def _encode_news(items: Iterable[Item],
+                 max_configuration_bytes: float) -> bytes:
     rows = [
         row for item in items
         if len((row := _pack_item(item)).get('Packed', row.get('Value', ''))) <=
-        room or item.key != CONFIGURATION
+        max_configuration_bytes or item.key != CONFIGURATION
     ]
     return zlib.compress(json.dumps(rows).encode(),
                          COMPRESSION_LEVEL) if rows else b''
 
 
-def _read_news(data: bytes) -> list[Item]:
-    """Reads news; an entry of an earlier release doesn't compress them."""
+def _decode_news(data: bytes) -> list[Item]:
+    """Decodes news; entries of an earlier release send them uncompressed."""
     if data and data[:1] != b'[':
         data = zlib.decompress(data)
     return [read_item(row) for row in json.loads(data or b'[]')]
 
 
-def make_reader(item: Item) -> Callable[[bytes], ports.SavedAssignment]:
-    """Returns what reads the assignment that an item holds."""
+def make_assignment_reader(
+        item: Item) -> Callable[[bytes], ports.SavedAssignment]:
+    """Returns a parser of an assignment that sets its revision."""
 
     def read(data: bytes) -> ports.SavedAssignment:
         return ports.SavedAssignment(documents.read_assignment(data),
@@ -490,7 +525,7 @@
     return read
 
 
-def make_entry_reader(item: Item) -> Callable[[bytes], ports.Peer]:
+def make_peer_reader(item: Item) -> Callable[[bytes], ports.Peer]:
     """Returns a parser of an entry or coordinator that sets its revision."""
     return lambda data: dataclasses.replace(documents.read_peer(data),
                                             registration_revision=item.revision)
