--- a/tests/test_platform_leaving.py
+++ b/tests/test_platform_leaving.py
@@ -1,4 +1,4 @@
-"""Entries that are asked to end, as processes against the stand-ins."""
+"""Tests the shutdown of entries, as processes with the stand-ins."""
 
 import http.client
 import pathlib
@@ -15,33 +15,37 @@
 
 
 class LeaderOutageTest(unittest.TestCase):
-    """A coordinator resigned while the store was away, so nobody followed."""
+    """A coordinator resigned while the store was unavailable.
+
+    No other entry could become coordinator, so grants expired and keys were
+    not served.
+    """
 
     def test_keys_stay_served_if_the_store_falls_silent_before_sigterm(self):
-        for phase_s in (0.1, 0.6, 1.2):
-            with self.subTest(phase_s=phase_s):
-                self._check(phase_s)
+        for delay_s in (0.1, 0.6, 1.2):
+            with self.subTest(delay_s=delay_s):
+                self._check(delay_s)
 
-    def _check(self, phase_s: float) -> None:
+    def _check(self, delay_s: float) -> None:
         deployment = platformhelp.Deployment(entries=2)
         try:
             leader = deployment.find_leader()
             other, = (item for item in deployment.entries if item is not leader)
             deployment.store.faults.away = 'silent'
-            time.sleep(phase_s)
+            time.sleep(delay_s)
             leader.stop()
-            refused = _list_refused(other, 5.0)
+            failed = _list_failed_requests(other, 5.0)
             deployment.store.faults.away = ''
             self.assertEqual(leader.process.wait(3.0), 0)
-            refused += _list_refused(other, 5.0)
-            self.assertEqual(refused, [])
+            failed += _list_failed_requests(other, 5.0)
+            self.assertEqual(failed, [])
             self.assertIn('coordination_begun', other.read_log())
         finally:
             deployment.close()
 
 
 class LongRequestCase(unittest.TestCase):
-    """One entry and one server of a service whose routes allow 5 s."""
+    """One entry and one server, with routes that time out after 5 s."""
 
     def setUp(self):
         super().setUp()
@@ -62,7 +66,7 @@
 
 
 class InterruptedRequestTest(LongRequestCase):
-    """An entry that ended cut requests that it had sent on after SIGTERM."""
+    """Requests that an entry sent after SIGTERM were interrupted by its end."""
 
     def _order(self, patience_ms: int):
         return self.entry.call('/order/x',
@@ -70,19 +74,19 @@
                                body=b'1',
                                patience_ms=patience_ms)
 
-    def test_an_order_that_may_outlast_the_entry_is_refused_at_once(self):
+    def test_order_that_may_outlast_the_entry_is_refused_at_once(self):
         self.server.work_s = 4.5
         self.entry.stop()
         time.sleep(2.0)
-        known, began = self.server.arrivals, time.monotonic()
+        arrivals_before, began = self.server.arrivals, time.monotonic()
         status, headers, _ = self._order(6_000)
         self.assertEqual(status, 503)
         self.assertEqual(headers['Connection'], 'close')
         self.assertGreater(float(headers['Retry-After']), 0.0)
         self.assertLess(time.monotonic() - began, 1.0)
-        self.assertEqual(self.server.arrivals, known)
+        self.assertEqual(self.server.arrivals, arrivals_before)
 
-    def test_an_order_that_ends_before_the_entry_is_served(self):
+    def test_order_that_finishes_before_the_entry_ends_is_served(self):
         self.server.work_s = 0.5
         self.entry.stop()
         time.sleep(2.0)
@@ -90,67 +94,68 @@
 
 
 class LateSignalTest(LongRequestCase):
-    """An entry that noticed SIGTERM late was killed with servers at work."""
+    """An entry that received SIGTERM late was killed during requests."""
 
-    def _stop_late(self, late_s: float) -> float:
-        """Has the entry notice SIGTERM late; returns when it was sent, s."""
+    def _stop_late(self, delay_s: float) -> float:
+        """Delays the receipt of SIGTERM; returns when it was sent, s."""
         process = self.entry.process
         process.send_signal(signal.SIGSTOP)
         time.sleep(0.02)
-        asked_at = time.monotonic()
+        sent_at = time.monotonic()
         self.entry.stop()
-        resume = threading.Timer(late_s, process.send_signal, (signal.SIGCONT,))
+        resume = threading.Timer(delay_s, process.send_signal,
+                                 (signal.SIGCONT,))
         resume.start()
         self.addCleanup(resume.join)
-        return asked_at
+        return sent_at
 
     def _assert_refused(self, path: str, **options) -> None:
-        known = self.server.arrivals
+        arrivals_before = self.server.arrivals
         status, _, _ = self.entry.call(path, **options)
         self.assertEqual(status, 503, self.entry.read_log())
-        self.assertEqual(self.server.arrivals, known)
+        self.assertEqual(self.server.arrivals, arrivals_before)
 
-    def _assert_ends(self, asked_at: float) -> None:
-        left_s = asked_at + _GRACE_S - time.monotonic()
-        self.assertEqual(self.entry.process.wait(left_s), 0,
+    def _assert_ends(self, sent_at: float) -> None:
+        remaining_s = sent_at + _GRACE_S - time.monotonic()
+        self.assertEqual(self.entry.process.wait(remaining_s), 0,
                          self.entry.read_log())
 
-    def test_nothing_later_than_the_notice_is_sent(self):
-        asked_at = self._stop_late(0.5)
-        _sleep_until(asked_at + 3.1)
+    def test_late_requests_are_refused(self):
+        sent_at = self._stop_late(0.5)
+        _sleep_until(sent_at + 3.1)
         self.server.work_s = 4.0
         self._assert_refused('/report/x', patience_ms=6_000)
         self._assert_refused('/order/x',
                              method='POST',
                              body=b'1',
                              patience_ms=2_800)
-        self._assert_ends(asked_at)
+        self._assert_ends(sent_at)
 
-    def test_it_gives_up_a_request_and_ends_in_time(self):
-        asked_at = self._stop_late(0.5)
-        _sleep_until(asked_at + 1.0)
+    def test_request_is_aborted_so_that_the_process_ends_in_time(self):
+        sent_at = self._stop_late(0.5)
+        _sleep_until(sent_at + 1.0)
         self.server.work_s = 5.2
         status, _, _ = self.entry.call('/report/x', patience_ms=9_000)
         self.assertEqual(status, 504, self.entry.read_log())
-        self._assert_ends(asked_at)
+        self._assert_ends(sent_at)
 
-    def test_what_comes_while_it_stands_still_is_not_sent(self):
-        asked_at = self._stop_late(4.5)
-        _sleep_until(asked_at + 3.2)
+    def test_request_received_while_suspended_is_not_sent(self):
+        sent_at = self._stop_late(4.5)
+        _sleep_until(sent_at + 3.2)
         self._assert_refused('/report/x', patience_ms=6_000)
 
 
 class SlowBodyTest(LongRequestCase):
-    """A request whose body ended too late was sent on, and given up."""
+    """A request was sent although its body ended too late, and was aborted."""
 
-    def test_it_is_refused(self):
+    def test_request_with_late_end_of_body_is_refused(self):
         self.server.work_s = 4.0
         connection = http.client.HTTPConnection('127.0.0.1',
                                                 self.entry.ports[0], 10)
         self.addCleanup(connection.close)
         self.entry.stop()
-        asked_at = time.monotonic()
-        _sleep_until(asked_at + 2.5)
+        sent_at = time.monotonic()
+        _sleep_until(sent_at + 2.5)
         connection.putrequest('POST', '/report/x', skip_host=True)
         headers = {
             'Host': platformhelp.HOST,
@@ -161,16 +166,20 @@
         for name, value in headers.items():
             connection.putheader(name, value)
         connection.endheaders(b'1')
-        _sleep_until(asked_at + 3.2)
+        _sleep_until(sent_at + 3.2)
         connection.send(b'2')
         self.assertEqual(connection.getresponse().status, 503)
         self.assertEqual(self.server.arrivals, 0)
 
 
 class SignalThreadTest(LongRequestCase):
-    """Another thread received SIGTERM, and the main one noted its absence."""
+    """Another thread received SIGTERM.
+
+    The main thread wasn't interrupted and recorded that no signal had been
+    sent.
+    """
 
-    def test_only_the_main_thread_receives_it(self):
+    def test_only_the_main_thread_receives_sigterm(self):
         self.assertEqual(self.entry.call('/report/x')[0], 200)
         process = self.entry.process
         threads = pathlib.Path(f'/proc/{process.pid}/task').iterdir()
@@ -183,7 +192,12 @@
 
 
 def _blocks(thread: pathlib.Path, number: int) -> bool:
-    """Returns whether a thread blocks a signal; it is named by its folder."""
+    """Returns whether a thread blocks a signal.
+
+    Args:
+      thread: Folder of the thread in /proc.
+      number: Number of the signal.
+    """
     status = (thread / 'status').read_text(encoding='utf-8')
     mask = int(re.search(r'^SigBlk:\s*(\w+)', status, re.MULTILINE)[1], 16)
     return bool(mask >> (number - 1) & 1)
@@ -193,18 +207,18 @@
     time.sleep(max(0.0, at - time.monotonic()))
 
 
-def _list_refused(entry: platformhelp.Entry,
-                  seconds: float) -> list[tuple[float, bytes]]:
-    """Returns requests for keys that were not served: when, and the answer."""
-    refused = []
+def _list_failed_requests(entry: platformhelp.Entry,
+                          seconds: float) -> list[tuple[float, bytes]]:
+    """Returns the time and the answer of each request that failed."""
+    failed = []
     began = time.monotonic()
     while time.monotonic() < began + seconds:
         for key in _KEYS:
             status, _, body = entry.call('/stock/lot', key)
             if status != 200:
-                refused.append((round(time.monotonic() - began, 2), body))
+                failed.append((round(time.monotonic() - began, 2), body))
         time.sleep(0.05)
-    return refused
+    return failed
 
 
 if __name__ == '__main__':
